--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -45,7 +45,7 @@
     pub objective: Duration,
     /// How long callers wait for the first event of a stream before they give it up; nothing where no such bound
     /// is known.
-    pub first_event_patience: Option<Duration>,
+    pub first_event_timeout: Option<Duration>,
     /// Its rank; 0 is the most urgent.
     pub priority: u8,
     /// How many replicas may run one request.
@@ -90,7 +90,7 @@
     /// Tokens of prompts and answers; a request that names none counts as so many.
     Tokens {
         /// The tokens of a request without any.
-        without_size: u64,
+        default_cost: u64,
     },
 }
 
@@ -110,7 +110,7 @@
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             QuotaUnit::Requests => 1,
-            QuotaUnit::Tokens { without_size } => tokens.unwrap_or(without_size),
+            QuotaUnit::Tokens { default_cost } => tokens.unwrap_or(default_cost),
         }
     }
 }
@@ -259,11 +259,11 @@
     /// The store of cached prompt work that keeps the prompts with this placement digest: the same one for
     /// every daemon, so that together the stores keep each prompt once.
     pub fn kv_store(&self, digest: u64) -> Option<&KvStore> {
-        let claim = |named: &&NamedKvStore| {
+        let rendezvous_score = |named: &&NamedKvStore| {
             let weight = xxh3_64_with_seed(named.name.as_bytes(), digest);
             (weight, named.store.address)
         };
-        let named = self.kv_stores.iter().max_by_key(claim);
+        let named = self.kv_stores.iter().max_by_key(rendezvous_score);
         named.map(|named| &named.store)
     }
 
--- a/crates/gateway/src/currency.rs
+++ b/crates/gateway/src/currency.rs
@@ -35,14 +35,14 @@
     /// The highest version that this daemon, or another one, is known to hold.
     highest: Cell<u64>,
     /// The highest such version that a read did not bring which began when it was known: the store has lost it.
-    lost: Cell<u64>,
+    lost_version: Cell<u64>,
     /// Whether other daemons were asked at the start which version they hold, and have answered or were silent for too long.
-    has_first_word: Cell<bool>,
-    lost_noted: Notify,
-    first_word: Notify,
+    has_peer_answers: Cell<bool>,
+    version_lost: Notify,
+    peer_answers_arrived: Notify,
     newer: Cell<Option<NewerVersion>>,
     proof: Cell<Option<Proof>>,
-    wanted: Notify,
+    proof_requested: Notify,
     proved: Notify,
 }
 
@@ -63,41 +63,41 @@
     }
 
     /// Takes in that the store, asked when `version` was known to be held by some daemon, has an older one.
-    pub fn note_lost(&self, version: u64) {
-        self.lost.set(self.lost.get().max(version));
-        self.lost_noted.notify_one();
+    pub fn note_lost_version(&self, version: u64) {
+        self.lost_version.set(self.lost_version.get().max(version));
+        self.version_lost.notify_one();
     }
 
     /// Waits until the store was found to have lost a version.
-    pub async fn lost(&self) {
-        self.lost_noted.notified().await;
+    pub async fn version_lost(&self) {
+        self.version_lost.notified().await;
     }
 
     /// Takes in that what other daemons knew at the start is known.
-    pub fn note_first_word(&self) {
-        self.has_first_word.set(true);
-        self.first_word.notify_waiters();
+    pub fn note_peer_answers(&self) {
+        self.has_peer_answers.set(true);
+        self.peer_answers_arrived.notify_waiters();
     }
 
     /// Whether what other daemons knew at the start is known. Before, a proof by an own read says little: the store may be a
     /// copy that lacks the newest configuration.
-    pub fn has_first_word(&self) -> bool {
-        self.has_first_word.get()
+    pub fn has_peer_answers(&self) -> bool {
+        self.has_peer_answers.get()
     }
 
-    /// Waits for that, up to `patience`; whether it is so.
-    pub async fn until_first_word(&self, patience: Duration) -> bool {
-        if self.has_first_word() {
+    /// Waits for that, up to `timeout`; whether it is so.
+    pub async fn until_peer_answers(&self, timeout: Duration) -> bool {
+        if self.has_peer_answers() {
             return true;
         }
-        let word = self.first_word.notified();
-        tokio::time::timeout(patience, word).await.is_ok()
+        let arrived = self.peer_answers_arrived.notified();
+        tokio::time::timeout(timeout, arrived).await.is_ok()
     }
 
     /// Whether a daemon that holds `version` knows less than others do, which the store can't tell it: nobody may be served
     /// by it whose key may have been taken away.
     pub fn is_outdated(&self, version: u64) -> bool {
-        version < self.lost.get()
+        version < self.lost_version.get()
     }
 
     /// Takes in a read that returned no newer version than `version`, which is in force; false where that proves nothing:
@@ -137,36 +137,36 @@
     }
 
     /// Waits until somebody wants a new proof.
-    pub async fn wanted(&self) {
-        self.wanted.notified().await;
+    pub async fn proof_requested(&self) {
+        self.proof_requested.notified().await;
     }
 
     /// Asks for a proof.
-    pub fn want(&self) {
-        self.wanted.notify_one();
+    pub fn request_proof(&self) {
+        self.proof_requested.notify_one();
     }
 
     /// Asks for a configuration that another daemon holds already.
-    pub fn want_version(&self, newer: NewerVersion) {
+    pub fn request_version(&self, newer: NewerVersion) {
         self.note_version(newer.version);
         self.newer.set(Some(newer));
-        self.wanted.notify_one();
+        self.proof_requested.notify_one();
     }
 
     /// The configuration that was asked for, once.
-    pub fn take_wanted_version(&self) -> Option<NewerVersion> {
+    pub fn take_requested_version(&self) -> Option<NewerVersion> {
         self.newer.take()
     }
 
-    /// Asks for a proof that is not older than `age`, and waits for it up to `patience`.
-    pub async fn confirm(&self, age: Duration, patience: Duration) -> bool {
+    /// Asks for a proof that is not older than `age`, and waits for it up to `timeout`.
+    pub async fn confirm(&self, age: Duration, timeout: Duration) -> bool {
         let confirmed = async {
             while !self.is_within(age) {
                 let proved = self.proved.notified();
-                self.want();
+                self.request_proof();
                 proved.await;
             }
         };
-        tokio::time::timeout(patience, confirmed).await.is_ok()
+        tokio::time::timeout(timeout, confirmed).await.is_ok()
     }
 }
--- a/crates/gateway/src/notices/take.rs
+++ b/crates/gateway/src/notices/take.rs
@@ -9,7 +9,7 @@
 
 use super::limit::LimitNotice;
 use super::replica_notices::Rest;
-use crate::protocol::{AnswerMeta, HeadField, RequestRate, UnreadableReason};
+use crate::protocol::{AnswerMeta, HeaderField, RequestRate, UnreadableReason};
 use crate::replicas::Replica;
 use crate::state::GatewayState;
 use crate::store::Rejected;
@@ -36,14 +36,14 @@
     }
     note_answered_limit(state, replica, answer, sent_at);
     match &answer.is_leaving {
-        HeadField::Value(true) => note_leaving(state, replica, Teller::Answer),
-        HeadField::Value(false) | HeadField::Absent => {}
-        HeadField::Unreadable(cause) => reject(state, replica, cause),
+        HeaderField::Value(true) => note_leaving(state, replica, Teller::Answer),
+        HeaderField::Value(false) | HeaderField::Absent => {}
+        HeaderField::Unreadable(cause) => reject(state, replica, cause),
     }
     match &answer.rest {
-        HeadField::Value(time) => note_rest(replica, *time),
-        HeadField::Absent => {}
-        HeadField::Unreadable(cause) => reject(state, replica, cause),
+        HeaderField::Value(time) => note_rest(replica, *time),
+        HeaderField::Absent => {}
+        HeaderField::Unreadable(cause) => reject(state, replica, cause),
     }
 }
 
@@ -122,11 +122,11 @@
     sent_at: Instant,
 ) {
     let rate = match &answer.request_limit {
-        HeadField::Value(rate) => Some(*rate),
+        HeaderField::Value(rate) => Some(*rate),
         // Only what the replica itself has written shows that it names no limit any more.
-        HeadField::Absent if answer.is_signed => None,
-        HeadField::Absent => return,
-        HeadField::Unreadable(cause) => {
+        HeaderField::Absent if answer.is_signed => None,
+        HeaderField::Absent => return,
+        HeaderField::Unreadable(cause) => {
             return reject(state, replica, cause);
         }
     };
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -26,7 +26,7 @@
 use crate::protocol::{ModelVersion, UnreadableReason};
 use crate::rollout::name_if_suspected;
 use crate::state::GatewayState;
-use crate::store::{Rejected, take_told_era};
+use crate::store::{Rejected, adopt_peer_era};
 use crate::weights::Since;
 
 /// The pause after a datagram could not be received.
@@ -56,7 +56,7 @@
         };
         match Message::decode(&buffer[..length]) {
             Some(Message::Ask(question)) => {
-                take_told_era(&state, question.store_era, &from.to_string());
+                adopt_peer_era(&state, question.store_era, &from.to_string());
                 state.currency.note_version(question.configuration);
                 state.peers.note_configuration(question.configuration, from);
                 state
@@ -214,7 +214,7 @@
         store_down_age_ms: state
             .weights
             .borrow()
-            .store_down_at()
+            .last_store_down_at()
             .map(|at| to_ms_up(at.elapsed())),
         quarantine: Some(records::digest(state)),
         store_era: era.number(),
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -15,7 +15,7 @@
 use crate::currency::{NewerVersion, Proof};
 use crate::protocol::{LeaseRecord, ModelVersion};
 use crate::state::{GatewayState, JUST_STARTED};
-use crate::store::{StoreEra, StorePosition, name_weights, suspect_weights, take_told_era};
+use crate::store::{StoreEra, StorePosition, adopt_peer_era, name_weights, suspect_weights};
 use crate::suspected_weights::Suspicion;
 use crate::weights::Since;
 
@@ -60,7 +60,7 @@
         let group = state.peers.group(&directory);
         let others = directory.first_of_other_groups();
         chooser.set_just_started(state.now() < JUST_STARTED);
-        if state.store_outage.is_on() && !state.peers.is_reader.get() {
+        if state.store_outage.is_active() && !state.peers.is_reader.get() {
             chooser.on_store_failing(state.now(), &state.peers.own.name);
         }
         let source = chooser.choose(state.now(), &group, &others, &state.peers.own.name);
@@ -90,8 +90,8 @@
                         "reading={reading:?} view_age={:?}",
                         state.peers.view_age()
                     );
-                    if let Some(at) = state.store_outage.was_down_at() {
-                        state.weights.borrow_mut().store_was_down(at);
+                    if let Some(at) = state.store_outage.last_seen_down_at() {
+                        state.weights.borrow_mut().note_store_down(at);
                     }
                 }
                 false
@@ -183,14 +183,14 @@
         return false;
     };
     answer.unpack();
-    take_told_era(state, answer.store_era, &daemon.name);
+    adopt_peer_era(state, answer.store_era, &daemon.name);
     if let Ok(address) = daemon.peers.parse() {
         peers.note_configuration(answer.configuration, address);
         records::reconcile(state, socket, answer.quarantine, address).await;
     }
     let view_age = answer.view_age_ms.map(Duration::from_millis);
     if let Some(at) = moment_before(sent_at, answer.store_down_age_ms) {
-        state.weights.borrow_mut().store_was_down(at);
+        state.weights.borrow_mut().note_store_down(at);
     }
     let proof_age = answer.proof_age_ms.map(Duration::from_millis);
     if !chooser.on_answer(state.now(), view_age, proof_age) {
@@ -198,7 +198,7 @@
         if !chooser.is_last_resort() {
             peers.ask_now.notify_one();
         } else if !state.currency.is_within(LONGEST_UNPROVED) {
-            state.currency.want();
+            state.currency.request_proof();
         }
         return false;
     }
@@ -248,10 +248,12 @@
     if known < answer.configuration {
         let version = answer.configuration;
         match proof {
-            Some(proof) => state.currency.want_version(NewerVersion { version, proof }),
+            Some(proof) => state
+                .currency
+                .request_version(NewerVersion { version, proof }),
             None => {
                 state.currency.note_version(version);
-                state.currency.want();
+                state.currency.request_proof();
             }
         }
         return answer.has_more;
@@ -269,7 +271,7 @@
 fn proof_in(answer: &Tell, sent_at: Instant) -> Option<Proof> {
     let began = moment_before(sent_at, answer.proof_age_ms)?;
     let position = answer.proof_revision.map(|revision| StorePosition {
-        era: StoreEra::told(answer.store_era),
+        era: StoreEra::from_number(answer.store_era),
         revision,
     });
     Some(Proof { began, position })
@@ -278,7 +280,7 @@
 /// How far the store has come, as an answer tells.
 fn position_in(answer: &Tell) -> StorePosition {
     StorePosition {
-        era: StoreEra::told(answer.store_era),
+        era: StoreEra::from_number(answer.store_era),
         revision: answer.store_revision,
     }
 }
@@ -321,13 +323,13 @@
             life: lease.life,
             token: lease.token,
             renewal: lease.renewal,
-            era: StoreEra::told(lease.written_in),
+            era: StoreEra::from_number(lease.written_in),
         };
         let now = state.now();
         let mut known = state.lease.borrow_mut();
         known.on_store_position(now, position_in(answer));
         let position = StorePosition {
-            era: StoreEra::told(lease.era),
+            era: StoreEra::from_number(lease.era),
             revision: lease.revision,
         };
         known.on_list(now, Some((position, record)));
--- a/crates/gateway/src/peers/configuration.rs
+++ b/crates/gateway/src/peers/configuration.rs
@@ -17,7 +17,7 @@
 use crate::configuration::Configuration;
 use crate::protocol::{Unreadable, UnreadableReason};
 use crate::state::{GatewayState, JUST_STARTED};
-use crate::store::{Rejected, take_handed_configuration};
+use crate::store::{Rejected, apply_handed_on_configuration};
 
 /// Answers that wait to be taken in: those of two questions.
 pub(super) const MAX_QUEUED: usize = 2 * MAX_PIECES as usize;
@@ -122,7 +122,7 @@
         ntex::rt::spawn(report_unconfirmed(Rc::clone(&state), asked));
     }
     loop {
-        state.currency.lost().await;
+        state.currency.version_lost().await;
         let mut pause = FIRST_PAUSE;
         while state.currency.is_outdated(state.held_version()) {
             if let Err(error) = take_over(&state, &socket, &mut told).await {
@@ -143,7 +143,7 @@
 }
 
 fn open(state: &GatewayState) {
-    state.currency.note_first_word();
+    state.currency.note_peer_answers();
     state.refresh_readiness();
 }
 
@@ -222,7 +222,7 @@
     if state.held_version() >= state.currency.highest() {
         return;
     }
-    state.currency.want();
+    state.currency.request_proof();
     let known = async {
         while state.held_version() < state.currency.highest()
             && !state.currency.is_outdated(state.held_version())
@@ -247,9 +247,9 @@
     let pieces = tokio::time::timeout(TRANSFER_TIMEOUT, transfer).await;
     let pieces = pieces.map_err(|_| TransferError::TooLong)??;
     let configuration = read(state, pieces)?;
-    take_handed_configuration(state, configuration, &holder.to_string());
+    apply_handed_on_configuration(state, configuration, &holder.to_string());
     // A read that shows an older version proves what is held now.
-    state.currency.want();
+    state.currency.request_proof();
     state.refresh_readiness();
     Ok(())
 }
--- a/crates/gateway/src/peers/convert.rs
+++ b/crates/gateway/src/peers/convert.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::message::{WireDaemon, WireReplica};
-use crate::protocol::{DaemonRecord, ModelVersion, ReplicaEntry, ReplicaLife};
+use crate::protocol::{DaemonRecord, ModelVersion, ReplicaEntry, ReplicaIncarnation};
 
 /// A time in whole milliseconds, as datagrams bear it.
 pub(crate) fn to_ms(time: Duration) -> u64 {
@@ -33,7 +33,7 @@
     pub fn to_entry(&self) -> Option<ReplicaEntry> {
         let models = self.models.iter();
         Some(ReplicaEntry {
-            life: ReplicaLife {
+            life: ReplicaIncarnation {
                 id: self.id.clone(),
                 born: self.born,
             },
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -7,7 +7,7 @@
 pub use super::notice_message::{AskPermit, TellPermit, WireLimit, WireNotice};
 use super::packed::PackedReplicas;
 pub use super::quarantine_message::{WireRecord, WireRecords, WireStrike, WireStruck};
-use crate::protocol::{ModelVersion, ReplicaLife};
+use crate::protocol::{ModelVersion, ReplicaIncarnation};
 
 /// The largest datagram that is sent, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
@@ -340,7 +340,7 @@
 pub struct WireReplica {
     /// Its id.
     pub id: String,
-    /// Which of its lives, see [`ReplicaLife::born`].
+    /// Which of its lives, see [`ReplicaIncarnation::born`].
     #[musli(default)]
     pub born: Option<u64>,
     /// Its service.
@@ -359,14 +359,14 @@
 
 impl WirePrompt {
     /// The life that was given the prompt.
-    pub fn life(&self) -> ReplicaLife {
+    pub fn life(&self) -> ReplicaIncarnation {
         life(&self.replica, self.born)
     }
 }
 
 impl Loading {
     /// The life that loads.
-    pub fn life(&self) -> ReplicaLife {
+    pub fn life(&self) -> ReplicaIncarnation {
         life(&self.replica, self.born)
     }
 
@@ -380,8 +380,8 @@
 }
 
 /// The life of the replica `id` that began at `born`.
-pub(super) fn life(id: &str, born: Option<u64>) -> ReplicaLife {
-    ReplicaLife {
+pub(super) fn life(id: &str, born: Option<u64>) -> ReplicaIncarnation {
+    ReplicaIncarnation {
         id: id.to_owned(),
         born,
     }
@@ -407,7 +407,7 @@
 pub struct WirePrompt {
     /// The replica's id.
     pub replica: String,
-    /// Which of its lives, see [`ReplicaLife::born`].
+    /// Which of its lives, see [`ReplicaIncarnation::born`].
     #[musli(default)]
     pub born: Option<u64>,
     /// Tokens that it probably has to read.
@@ -477,7 +477,7 @@
 pub struct Loading {
     /// The replica's id.
     pub replica: String,
-    /// Which of its lives, see [`ReplicaLife::born`].
+    /// Which of its lives, see [`ReplicaIncarnation::born`].
     #[musli(default)]
     pub born: Option<u64>,
     /// The model.
--- a/crates/gateway/src/peers/notice_message.rs
+++ b/crates/gateway/src/peers/notice_message.rs
@@ -3,14 +3,14 @@
 use musli::{Decode, Encode};
 
 use super::message::life;
-use crate::protocol::ReplicaLife;
+use crate::protocol::ReplicaIncarnation;
 
 /// What one life of a replica says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireNotice {
     /// The replica's id.
     pub replica: String,
-    /// Which of its lives, see [`ReplicaLife::born`].
+    /// Which of its lives, see [`ReplicaIncarnation::born`].
     #[musli(default)]
     pub born: Option<u64>,
     /// Its limit; none where nothing is known of one.
@@ -23,7 +23,7 @@
 
 impl WireNotice {
     /// The life that says it.
-    pub fn life(&self) -> ReplicaLife {
+    pub fn life(&self) -> ReplicaIncarnation {
         life(&self.replica, self.born)
     }
 }
--- a/crates/gateway/src/peers/records.rs
+++ b/crates/gateway/src/peers/records.rs
@@ -263,7 +263,7 @@
 /// Where the store keeps a record, as another daemon tells.
 fn stored_position(told: &WireRecord) -> Option<StorePosition> {
     let position = StorePosition {
-        era: StoreEra::told(told.stored_era),
+        era: StoreEra::from_number(told.stored_era),
         revision: told.stored_revision,
     };
     Some(position).filter(|position| position.revision > 0)
--- a/crates/gateway/src/pipeline/attempts.rs
+++ b/crates/gateway/src/pipeline/attempts.rs
@@ -18,7 +18,7 @@
 use super::refusal::{Reason, Refusal, Step};
 use crate::notices;
 use crate::permits::{self, Denied};
-use crate::protocol::ReplicaLife;
+use crate::protocol::ReplicaIncarnation;
 use crate::quarantine::note_loss;
 use crate::replicas::Replica;
 use crate::state::GatewayState;
@@ -44,7 +44,7 @@
 pub struct Attempts {
     state: Rc<GatewayState>,
     context: Rc<RequestContext>,
-    tried: Vec<ReplicaLife>,
+    tried: Vec<ReplicaIncarnation>,
     /// Replicas that refused since they have other weights than they were sent to for.
     with_other_weights: Vec<WithOtherWeights>,
     runs: u32,
@@ -277,7 +277,7 @@
         self.sent_in_vain(peer, detail)
     }
 
-    fn has_refused_for_weights(&self, life: &ReplicaLife) -> bool {
+    fn has_refused_for_weights(&self, life: &ReplicaIncarnation) -> bool {
         let mut others = self.with_other_weights.iter();
         others.any(|other| other.replica.life == *life)
     }
@@ -310,7 +310,8 @@
             self.hear_of_weights(&others).await;
         }
         let known = others.iter().filter(|other| self.knows_weights(other));
-        let known: Vec<ReplicaLife> = known.map(|other| other.replica.life.clone()).collect();
+        let known: Vec<ReplicaIncarnation> =
+            known.map(|other| other.replica.life.clone()).collect();
         self.tried.retain(|life| !known.contains(life));
         !known.is_empty()
     }
@@ -347,7 +348,7 @@
         is_possible
     }
 
-    fn tried_with(&self, choice: &Choice) -> Vec<ReplicaLife> {
+    fn tried_with(&self, choice: &Choice) -> Vec<ReplicaIncarnation> {
         let mut tried = self.tried.clone();
         tried.push(choice.replica.life.clone());
         tried
--- a/crates/gateway/src/pipeline/authenticate.rs
+++ b/crates/gateway/src/pipeline/authenticate.rs
@@ -53,7 +53,7 @@
 
 /// A key may have been taken away since the configuration was last known to be current.
 async fn check_currency(state: &GatewayState, route: &Route) -> Result<(), Refusal> {
-    if !state.currency.until_first_word(DENIAL_PATIENCE).await {
+    if !state.currency.until_peer_answers(DENIAL_PATIENCE).await {
         return Err(refused(
             Reason::NotInformed,
             "no other gateway has been heard yet",
--- a/crates/gateway/src/pipeline/choose_replica.rs
+++ b/crates/gateway/src/pipeline/choose_replica.rs
@@ -13,7 +13,7 @@
 use super::retry_after::return_after_pause;
 use crate::cache::Prefix;
 use crate::notices::Pause;
-use crate::protocol::ReplicaLife;
+use crate::protocol::ReplicaIncarnation;
 use crate::replicas::{Candidate, MOST_COMPARED, PlacementKey, Replica, ServiceReplicas, place};
 use crate::state::GatewayState;
 
@@ -62,7 +62,7 @@
 pub fn choose(
     state: &GatewayState,
     context: &RequestContext,
-    tried: &[ReplicaLife],
+    tried: &[ReplicaIncarnation],
     progress: Progress,
 ) -> Result<Choice, Refusal> {
     let listed = state.registry.of_service(&context.service);
@@ -140,7 +140,7 @@
     state: &GatewayState,
     context: &RequestContext,
     key: Option<PlacementKey>,
-    tried: &[ReplicaLife],
+    tried: &[ReplicaIncarnation],
     progress: Progress,
     listed: &ServiceReplicas,
 ) -> Option<Admitted> {
@@ -157,7 +157,7 @@
     state: &GatewayState,
     context: &RequestContext,
     listed: &[Rc<Replica>],
-    tried: &[ReplicaLife],
+    tried: &[ReplicaIncarnation],
     rank: u8,
 ) -> Result<Vec<Rc<Replica>>, Refusal> {
     let now = Instant::now();
--- a/crates/gateway/src/pipeline/context.rs
+++ b/crates/gateway/src/pipeline/context.rs
@@ -116,7 +116,7 @@
     /// How long its caller waits for it to begin, from its arrival.
     pub fn patience(&self) -> Duration {
         let hold = self.deadline.saturating_duration_since(self.started);
-        let patience = self.route.first_event_patience;
+        let patience = self.route.first_event_timeout;
         patience.map_or(hold, |patience| patience.min(hold))
     }
 
--- a/crates/gateway/src/pipeline/dispatch.rs
+++ b/crates/gateway/src/pipeline/dispatch.rs
@@ -13,7 +13,7 @@
 
 use super::choose_replica::Choice;
 use super::context::RequestContext;
-use super::withdrawal::{is_too_old, time_at_replica, until_too_old};
+use super::withdrawal::{is_too_old, replica_time_limit, until_too_old};
 use crate::peers::message::WirePrompt;
 use crate::protocol::Dispatch;
 use crate::replicas::{OpenWork, Waiting};
@@ -158,7 +158,7 @@
 ) -> Result<Request<Full<Bytes>>, SendFailure> {
     let dispatch = Dispatch {
         replica: choice.replica.id().to_owned(),
-        deadline: time_at_replica(state, context, choice),
+        deadline: replica_time_limit(state, context, choice),
         tenant: context.tenant.as_ref().map(|tenant| tenant.name.clone()),
         priority: context.prompt().map(|_| choice.rank),
         weights_version: choice.weights_version,
@@ -208,7 +208,7 @@
         context.configuration.version,
         state.currency.age(),
         context.time_left(),
-        time_at_replica(state, context, choice),
+        replica_time_limit(state, context, choice),
         connection.is_reused
     );
 }
--- a/crates/gateway/src/pipeline/withdrawal.rs
+++ b/crates/gateway/src/pipeline/withdrawal.rs
@@ -18,7 +18,7 @@
 /// The time that the chosen replica is given: what is left of the caller's, but no more than until its weights are too
 /// old where the request may wait there so long. Without the latter a request began 3.45 s after a naming where 3 s
 /// are allowed, at a replica that goes on with closed ones.
-pub fn time_at_replica(
+pub fn replica_time_limit(
     state: &GatewayState,
     context: &RequestContext,
     choice: &Choice,
@@ -32,7 +32,7 @@
     let expected_wait = choice.replica.waits.expected(choice.rank, now);
     let wanted = state.weights.borrow();
     wanted
-        .time_at_replica(&prompt.model, version, now, deadline, expected_wait)
+        .replica_time_limit(&prompt.model, version, now, deadline, expected_wait)
         .map_or(callers, |given| given.min(callers))
 }
 
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::configuration::Configuration;
-use crate::store::{StorePosition, ToldEra};
+use crate::store::{AnswerEra, StorePosition};
 
 mod own_records;
 
@@ -117,7 +117,7 @@
 
 /// A field of a head that may be missing or hold anything.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum HeadField<T> {
+pub enum HeaderField<T> {
     /// It is not there.
     #[default]
     Absent,
@@ -143,11 +143,11 @@
     /// Whether the head names the replica's signature.
     pub is_signed: bool,
     /// The rate that the replica takes from all daemons together, for as long as its answers say so.
-    pub request_limit: HeadField<RequestRate>,
+    pub request_limit: HeaderField<RequestRate>,
     /// Whether the replica is leaving.
-    pub is_leaving: HeadField<bool>,
+    pub is_leaving: HeaderField<bool>,
     /// For how long the replica wants no requests from this daemon.
-    pub rest: HeadField<Duration>,
+    pub rest: HeaderField<Duration>,
 }
 
 /// How requests and answers are spelled.
@@ -220,7 +220,7 @@
 
 /// One life of a replica. A replica that starts again may keep its id; it holds and knows nothing of before.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct ReplicaLife {
+pub struct ReplicaIncarnation {
     /// The replica's id.
     pub id: String,
     /// When the life began, in milliseconds of Unix time by the replica's clock; none where replicas don't say. Only
@@ -228,7 +228,7 @@
     pub born: Option<u64>,
 }
 
-impl ReplicaLife {
+impl ReplicaIncarnation {
     /// Whether `other`, of the same id, began later.
     pub fn is_before(&self, other: &Self) -> bool {
         self.id == other.id && self.born < other.born
@@ -244,7 +244,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaEntry {
     /// The life that wrote the entry.
-    pub life: ReplicaLife,
+    pub life: ReplicaIncarnation,
     /// Its service.
     pub service: String,
     /// Its address.
@@ -374,7 +374,7 @@
     /// Removes an object that must have `expected` as its revision.
     fn remove(&self, kind: ObjectKind, name: &str, expected: u64) -> Call;
     /// Reads which era an answer names.
-    fn read_era(&self, headers: &HeaderMap) -> ToldEra;
+    fn read_era(&self, headers: &HeaderMap) -> AnswerEra;
     /// Reads one page of a list. Its positions, and all that are read below, name no era.
     ///
     /// # Errors
@@ -447,7 +447,7 @@
 /// A replica as it describes itself, some hundred milliseconds late.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaReport {
-    /// When the life began that answers, where it says so, see [`ReplicaLife::born`].
+    /// When the life began that answers, where it says so, see [`ReplicaIncarnation::born`].
     pub born: Option<u64>,
     /// Its weights.
     pub models: Vec<ModelVersion>,
--- a/crates/gateway/src/quarantine/ends.rs
+++ b/crates/gateway/src/quarantine/ends.rs
@@ -12,7 +12,7 @@
 use driftspring_telemetry::log_event;
 
 use super::{Fingerprint, Strike, role};
-use crate::protocol::ReplicaLife;
+use crate::protocol::ReplicaIncarnation;
 use crate::replicas::Replica;
 use crate::state::GatewayState;
 use crate::upstream::is_refused;
@@ -30,7 +30,7 @@
 
 /// Answers that broke off, by replica, until it is known whether the replica has ended.
 #[derive(Debug, Default)]
-pub struct Losses(RefCell<HashMap<ReplicaLife, Vec<Loss>>>);
+pub struct Losses(RefCell<HashMap<ReplicaIncarnation, Vec<Loss>>>);
 
 /// An answer that broke off.
 #[derive(Debug, Clone, Copy)]
@@ -42,7 +42,7 @@
 
 impl Losses {
     /// Adds a loss; true where it is the first one at this replica.
-    fn add(&self, replica: &ReplicaLife, loss: Loss) -> bool {
+    fn add(&self, replica: &ReplicaIncarnation, loss: Loss) -> bool {
         let mut by_replica = self.0.borrow_mut();
         let losses = by_replica.entry(replica.clone()).or_default();
         if losses.len() < MAX_LOSSES {
@@ -51,7 +51,7 @@
         losses.len() == 1
     }
 
-    fn take(&self, replica: &ReplicaLife) -> Vec<Loss> {
+    fn take(&self, replica: &ReplicaIncarnation) -> Vec<Loss> {
         self.0.borrow_mut().remove(replica).unwrap_or_default()
     }
 }
--- a/crates/gateway/src/replicas/registry.rs
+++ b/crates/gateway/src/replicas/registry.rs
@@ -10,7 +10,7 @@
 
 use super::replica::Replica;
 use super::service_replicas::ServiceReplicas;
-use crate::protocol::{ReplicaEntry, ReplicaLife};
+use crate::protocol::{ReplicaEntry, ReplicaIncarnation};
 
 /// Services of which it is remembered that their replicas say when their lives began; more than that a configuration
 /// has. Entries of other writers may name any.
@@ -62,12 +62,12 @@
     }
 
     /// The replica in this life, unless another life of it is listed.
-    pub fn current(&self, life: &ReplicaLife) -> Option<Rc<Replica>> {
+    pub fn current(&self, life: &ReplicaIncarnation) -> Option<Rc<Replica>> {
         self.get(&life.id).filter(|known| known.life == *life)
     }
 
     /// Whether this life is listed.
-    pub fn is_current(&self, life: &ReplicaLife) -> bool {
+    pub fn is_current(&self, life: &ReplicaIncarnation) -> bool {
         self.current(life).is_some()
     }
 
--- a/crates/gateway/src/replicas/replica.rs
+++ b/crates/gateway/src/replicas/replica.rs
@@ -10,7 +10,7 @@
 use super::begin_wait::BeginWait;
 use super::health::Health;
 use crate::notices::ReplicaNotices;
-use crate::protocol::{ModelVersion, ReplicaEntry, ReplicaLife};
+use crate::protocol::{ModelVersion, ReplicaEntry, ReplicaIncarnation};
 use crate::upstream::Pool;
 use crate::weights::WantedWeights;
 
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Replica {
     /// Which life it is.
-    pub life: ReplicaLife,
+    pub life: ReplicaIncarnation,
     /// The digest of its id, alike for all of its lives: prompts come home to the same place.
     pub id_hash: u64,
     /// The digest of its life: what an earlier life kept or did is not this one's.
--- a/crates/gateway/src/rollout/task.rs
+++ b/crates/gateway/src/rollout/task.rs
@@ -14,7 +14,7 @@
 use super::load::{LoadFailure, MAX_LOST_ORDERS, MAX_LOST_TRIALS, bring_up_to_date};
 use super::plan::{PlannedReplica, next_loads};
 use crate::protocol::{
-    ModelVersion, ObjectContent, ObjectKind, ReplicaEntry, ReplicaLife, WriteAnswer,
+    ModelVersion, ObjectContent, ObjectKind, ReplicaEntry, ReplicaIncarnation, WriteAnswer,
 };
 use crate::replicas::Replica;
 use crate::state::GatewayState;
@@ -53,27 +53,27 @@
 /// What the task keeps of each replica.
 #[derive(Debug, Default)]
 struct Progress {
-    by_replica: RefCell<HashMap<ReplicaLife, ReplicaProgress>>,
+    by_replica: RefCell<HashMap<ReplicaIncarnation, ReplicaProgress>>,
     /// Models of which a suspected version is tried just now.
     tried: RefCell<HashSet<String>>,
 }
 
 impl Progress {
     /// What is known of this life.
-    fn of(&self, life: &ReplicaLife) -> ReplicaProgress {
+    fn of(&self, life: &ReplicaIncarnation) -> ReplicaProgress {
         let by_replica = self.by_replica.borrow();
         by_replica.get(life).copied().unwrap_or_default()
     }
 
     /// Takes in that a life is ordered to load; false where it was already.
-    fn begin(&self, life: &ReplicaLife) -> bool {
+    fn begin(&self, life: &ReplicaIncarnation) -> bool {
         let mut by_replica = self.by_replica.borrow_mut();
         let is_driven = &mut by_replica.entry(life.clone()).or_default().is_driven;
         !std::mem::replace(is_driven, true)
     }
 
     /// Takes in that loading has ended.
-    fn end(&self, life: &ReplicaLife, end: Result<(), LoadFailure>) {
+    fn end(&self, life: &ReplicaIncarnation, end: Result<(), LoadFailure>) {
         let mut by_replica = self.by_replica.borrow_mut();
         let own = by_replica.entry(life.clone()).or_default();
         own.note_end(end, Instant::now());
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -34,7 +34,8 @@
 use crate::replicas::{GoneLives, Registry};
 use crate::rollout::{OrderLease, lease_times};
 use crate::store::{
-    self, KnownNamings, Rejected, Rejections, StoreEras, StoreOutage, StorePosition, StoreProgress,
+    self, KnownNamings, Rejected, Rejections, StoreEraTracker, StoreOutage, StorePosition,
+    StoreProgress,
 };
 use crate::suspected_weights::SuspectedWeights;
 use crate::upstream::Pool;
@@ -144,7 +145,7 @@
     /// How far the store had come when.
     pub store_progress: RefCell<StoreProgress>,
     /// The latest era of the store that is known.
-    pub store_eras: StoreEras,
+    pub store_eras: StoreEraTracker,
     /// The latest position of the store that is known.
     pub store_position: Cell<StorePosition>,
     /// The first position that was read of the store's latest era.
@@ -211,7 +212,7 @@
             known_namings: KnownNamings::default(),
             suspected_weights: RefCell::default(),
             store_progress: RefCell::default(),
-            store_eras: StoreEras::new(Instant::now()),
+            store_eras: StoreEraTracker::new(Instant::now()),
             store_position: Cell::default(),
             store_era_begin: Cell::default(),
             gone_lives: RefCell::default(),
@@ -426,7 +427,7 @@
         let configuration = self.configuration.load();
         let version = self.held_version();
         let is_informed = configuration.is_some()
-            && self.currency.has_first_word()
+            && self.currency.has_peer_answers()
             && !self.currency.is_outdated(version)
             && !self.registry.is_empty()
             && self.currency.is_within(READY_CURRENCY);
--- a/crates/gateway/src/store/client.rs
+++ b/crates/gateway/src/store/client.rs
@@ -8,7 +8,7 @@
 use driftspring_telemetry::log_event;
 use http::StatusCode;
 
-use super::era::take_answered;
+use super::era::accept_answer_era;
 use super::position::{StoreEra, StorePosition};
 use crate::protocol::{
     Call, Freshness, ListPage, ObjectContent, ObjectKind, StoredObject, WatchPage, WriteAnswer,
@@ -36,10 +36,10 @@
     HistoryGone,
     /// The answer is of an earlier era than is known.
     #[error("the store answered in an earlier era")]
-    EarlierEra,
+    StaleEra,
     /// The answer names a later era that is not confirmed yet, or the era has changed since what it goes on from.
     #[error("the store has changed its era")]
-    OtherEra,
+    EraChanged,
     /// The answer can't be read.
     #[error("unreadable answer: {0}")]
     Unreadable(String),
@@ -48,18 +48,18 @@
 impl StoreError {
     /// Whether it shows that the store, or the way to it, is in trouble: not where it refuses calls beyond its rate,
     /// or has answered.
-    fn is_trouble(&self) -> bool {
+    fn is_store_failure(&self) -> bool {
         match self {
             Self::Call(_) => true,
             Self::Status(status) => *status != StatusCode::TOO_MANY_REQUESTS,
-            Self::HistoryGone | Self::EarlierEra | Self::OtherEra | Self::Unreadable(_) => false,
+            Self::HistoryGone | Self::StaleEra | Self::EraChanged | Self::Unreadable(_) => false,
         }
     }
 }
 
 /// How often a reading call is made that the change of the store's era ended, or whose answer does not count because of the
 /// era that it names: the second answer confirms a later era, and a call that a change ended is made on a new connection.
-const ERA_TRIES: u32 = 2;
+const MAX_ERA_ATTEMPTS: u32 = 2;
 
 /// Every object of a kind, with the position of the store that a watch can go on from.
 ///
@@ -70,7 +70,7 @@
     state: &GatewayState,
     kind: ObjectKind,
 ) -> Result<(Vec<StoredObject>, StorePosition), StoreError> {
-    list_as(state, kind, Freshness::Newest).await
+    list_with_freshness(state, kind, Freshness::Newest).await
 }
 
 /// Every object of a kind, as it was up to some seconds ago.
@@ -82,11 +82,11 @@
     state: &GatewayState,
     kind: ObjectKind,
 ) -> Result<Vec<StoredObject>, StoreError> {
-    let (objects, _) = list_as(state, kind, Freshness::Recent).await?;
+    let (objects, _) = list_with_freshness(state, kind, Freshness::Recent).await?;
     Ok(objects)
 }
 
-async fn list_as(
+async fn list_with_freshness(
     state: &GatewayState,
     kind: ObjectKind,
     freshness: Freshness,
@@ -98,7 +98,7 @@
         let call = state.platform.list(kind, after, freshness);
         let began = Instant::now();
         let answer = get(state, &call, CALL_TIMEOUT).await;
-        if answer.as_ref().is_err_and(StoreError::is_trouble) {
+        if answer.as_ref().is_err_and(StoreError::is_store_failure) {
             state.store_outage.note_failed_list(began);
         }
         let (era, body) = answer?;
@@ -109,14 +109,14 @@
             .in_era(era);
         // The revision of an old answer says nothing of how far the store had come when it was given.
         if freshness == Freshness::Newest {
-            note_position(state, page.position);
+            record_position(state, page.position);
             let mut progress = state.store_progress.borrow_mut();
             progress.note(began, page.position);
         }
         // A watch goes on from the first page: what changed since is told again.
         let position = *first_position.get_or_insert(page.position);
         if position.era != era {
-            return Err(StoreError::OtherEra);
+            return Err(StoreError::EraChanged);
         }
         let is_last = !page.has_more || last_name(&page.items).is_none();
         objects.extend(page.items);
@@ -144,30 +144,30 @@
     wait: Duration,
 ) -> Result<WatchPage, StoreError> {
     if position.era != state.store_eras.known() {
-        return Err(StoreError::OtherEra);
+        return Err(StoreError::EraChanged);
     }
     let call = state.platform.watch(kind, position.revision, wait);
     let changes = state.store_eras.changes();
     let answer = tokio::select! {
         biased;
         answer = get_once(state, &call, wait + WATCH_MARGIN) => answer,
-        () = state.store_eras.changed_after(changes) => Err(StoreError::OtherEra),
+        () = state.store_eras.changed_after(changes) => Err(StoreError::EraChanged),
     };
     let (era, body) = answer?;
     if era != position.era {
-        return Err(StoreError::OtherEra);
+        return Err(StoreError::EraChanged);
     }
     let page = state
         .platform
         .read_watch(kind, &body)
         .map_err(StoreError::Unreadable)?
         .in_era(era);
-    note_position(state, page.position);
+    record_position(state, page.position);
     Ok(page)
 }
 
 /// Remembers when the store had reached a position.
-fn note_position(state: &GatewayState, position: StorePosition) {
+fn record_position(state: &GatewayState, position: StorePosition) {
     let mut lease = state.lease.borrow_mut();
     lease.on_store_position(state.now(), position);
     let before = state.store_position.get();
@@ -251,25 +251,25 @@
     call: &Call,
     timeout: Duration,
 ) -> Result<(StoreEra, Bytes), StoreError> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
         let changes = state.store_eras.changes();
         let result = tokio::select! {
             biased;
             result = get_once(state, call, timeout) => result,
-            () = state.store_eras.changed_after(changes) => Err(StoreError::OtherEra),
+            () = state.store_eras.changed_after(changes) => Err(StoreError::EraChanged),
         };
         // The changes themselves are bounded.
         if state.store_eras.changes() == changes {
-            tries += 1;
+            attempts += 1;
         }
-        let is_asked_again = match result {
-            Err(StoreError::OtherEra) => true,
+        let should_retry = match result {
+            Err(StoreError::EraChanged) => true,
             // A store that goes on to name an earlier era is asked no more often than one that is down.
-            Err(StoreError::EarlierEra) => !state.store_outage.is_on(),
+            Err(StoreError::StaleEra) => !state.store_outage.is_active(),
             _ => false,
         };
-        if !is_asked_again || tries >= ERA_TRIES {
+        if !should_retry || attempts >= MAX_ERA_ATTEMPTS {
             return result;
         }
     }
@@ -311,6 +311,6 @@
     state.status.metrics.store_calls.inc();
     let answer = upstream::call_with_headers(&state.store, call, timeout).await?;
     let told = state.platform.read_era(&answer.headers);
-    let era = take_answered(state, &told)?;
+    let era = accept_answer_era(state, &told)?;
     Ok((era, answer))
 }
--- a/crates/gateway/src/store/era.rs
+++ b/crates/gateway/src/store/era.rs
@@ -20,18 +20,18 @@
 
 /// How long answers that name a lower era are refused since one last named the known era. A daemon without any answer
 /// for so long is out of touch (`contactMs`); a copy that is gone answers no call so late (1.5 s).
-pub const LOWER_ERA_PATIENCE: Duration = Duration::from_secs(3);
+pub const LOWER_ERA_REJECTION_WINDOW: Duration = Duration::from_secs(3);
 
-/// Changes of the era that are taken in within [`CHANGES_WINDOW`]. Each has every reader list anew, which takes up to 2 s; a
+/// Changes of the era that are taken in within [`ERA_CHANGES_WINDOW`]. Each has every reader list anew, which takes up to 2 s; a
 /// store that names a later era in every answer counts something else.
-const MAX_CHANGES: usize = 4;
+const MAX_ERA_CHANGES: usize = 4;
 
-/// See [`MAX_CHANGES`].
-const CHANGES_WINDOW: Duration = Duration::from_secs(10);
+/// See [`MAX_ERA_CHANGES`].
+const ERA_CHANGES_WINDOW: Duration = Duration::from_secs(10);
 
 /// The era that an answer names.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ToldEra {
+pub enum AnswerEra {
     /// None.
     Missing,
     /// What it names is no era.
@@ -42,7 +42,7 @@
 
 /// What the era named by an answer says of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EraReading {
+pub enum EraVerdict {
     /// It is of the known era.
     Current,
     /// It is of a later era, or the first that is named.
@@ -56,39 +56,41 @@
 }
 
 /// Reads the era that an answer names, where `known` was last named `confirmed_ago`.
-pub fn read_era(known: StoreEra, told: &ToldEra, confirmed_ago: Duration) -> EraReading {
+pub fn read_era(known: StoreEra, told: &AnswerEra, confirmed_ago: Duration) -> EraVerdict {
     match told {
-        ToldEra::Missing if known == StoreEra::UNNAMED => EraReading::Current,
-        ToldEra::Missing | ToldEra::Unreadable(_) => EraReading::Doubtful,
-        ToldEra::Named(era) if *era == known => EraReading::Current,
-        ToldEra::Named(era) if *era > known => EraReading::Later(*era),
-        ToldEra::Named(era) if confirmed_ago < LOWER_ERA_PATIENCE => EraReading::Earlier(*era),
-        ToldEra::Named(_) => EraReading::Doubtful,
+        AnswerEra::Missing if known == StoreEra::UNNAMED => EraVerdict::Current,
+        AnswerEra::Missing | AnswerEra::Unreadable(_) => EraVerdict::Doubtful,
+        AnswerEra::Named(era) if *era == known => EraVerdict::Current,
+        AnswerEra::Named(era) if *era > known => EraVerdict::Later(*era),
+        AnswerEra::Named(era) if confirmed_ago < LOWER_ERA_REJECTION_WINDOW => {
+            EraVerdict::Earlier(*era)
+        }
+        AnswerEra::Named(_) => EraVerdict::Doubtful,
     }
 }
 
 /// The latest era that is known.
 #[derive(Debug)]
-pub struct StoreEras {
+pub struct StoreEraTracker {
     known: Cell<StoreEra>,
     confirmed_at: Cell<Instant>,
     /// Whether something was taken in of a store that named no era.
-    has_unnamed: Cell<bool>,
+    has_read_unnamed: Cell<bool>,
     /// The later era that the last answer named which named one.
-    named_later: Cell<Option<StoreEra>>,
-    /// When the era changed within the last [`CHANGES_WINDOW`].
+    unconfirmed_era: Cell<Option<StoreEra>>,
+    /// When the era changed within the last [`ERA_CHANGES_WINDOW`].
     changed_at: RefCell<VecDeque<Instant>>,
     changes: watch::Sender<u64>,
 }
 
-impl StoreEras {
+impl StoreEraTracker {
     /// No era is known at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
             known: Cell::default(),
             confirmed_at: Cell::new(now),
-            has_unnamed: Cell::default(),
-            named_later: Cell::default(),
+            has_read_unnamed: Cell::default(),
+            unconfirmed_era: Cell::default(),
             changed_at: RefCell::default(),
             changes: watch::Sender::new(0),
         }
@@ -100,55 +102,55 @@
     }
 
     /// Reads the era that an answer names which came at `now`.
-    pub fn read(&self, told: &ToldEra, now: Instant) -> EraReading {
+    pub fn read(&self, told: &AnswerEra, now: Instant) -> EraVerdict {
         let confirmed_ago = now.saturating_duration_since(self.confirmed_at.get());
         let reading = match read_era(self.known.get(), told, confirmed_ago) {
-            EraReading::Later(_) if !self.may_change(now) => EraReading::Doubtful,
-            EraReading::Later(era) => self.confirm(era),
+            EraVerdict::Later(_) if !self.may_change(now) => EraVerdict::Doubtful,
+            EraVerdict::Later(era) => self.confirm(era),
             reading => reading,
         };
         match reading {
-            EraReading::Current if *told == ToldEra::Missing => self.has_unnamed.set(true),
-            EraReading::Current => self.confirmed_at.set(now),
-            EraReading::Later(_)
-            | EraReading::Unconfirmed(_)
-            | EraReading::Earlier(_)
-            | EraReading::Doubtful => {}
+            EraVerdict::Current if *told == AnswerEra::Missing => self.has_read_unnamed.set(true),
+            EraVerdict::Current => self.confirmed_at.set(now),
+            EraVerdict::Later(_)
+            | EraVerdict::Unconfirmed(_)
+            | EraVerdict::Earlier(_)
+            | EraVerdict::Doubtful => {}
         }
         reading
     }
 
     /// Reads a later era. It is believed once two answers in a row have named it: a store that names another one each time
     /// counts something else. The first era at all is believed at once.
-    fn confirm(&self, era: StoreEra) -> EraReading {
-        let before = self.named_later.replace(Some(era));
-        let is_first = self.known() == StoreEra::UNNAMED && !self.has_unnamed.get();
+    fn confirm(&self, era: StoreEra) -> EraVerdict {
+        let before = self.unconfirmed_era.replace(Some(era));
+        let is_first = self.known() == StoreEra::UNNAMED && !self.has_read_unnamed.get();
         match before {
-            Some(before) if before == era => EraReading::Later(era),
-            _ if is_first => EraReading::Later(era),
-            None => EraReading::Unconfirmed(era),
-            Some(_) => EraReading::Doubtful,
+            Some(before) if before == era => EraVerdict::Later(era),
+            _ if is_first => EraVerdict::Later(era),
+            None => EraVerdict::Unconfirmed(era),
+            Some(_) => EraVerdict::Doubtful,
         }
     }
 
-    /// Whether a later era is believed at `now`, see [`MAX_CHANGES`].
+    /// Whether a later era is believed at `now`, see [`MAX_ERA_CHANGES`].
     pub fn may_change(&self, now: Instant) -> bool {
         let mut changed_at = self.changed_at.borrow_mut();
-        changed_at.retain(|at| now.saturating_duration_since(*at) < CHANGES_WINDOW);
-        changed_at.len() < MAX_CHANGES
+        changed_at.retain(|at| now.saturating_duration_since(*at) < ERA_CHANGES_WINDOW);
+        changed_at.len() < MAX_ERA_CHANGES
     }
 
     /// Takes in a later era, named at `now`; whether the store has changed to it from another one. The first era that is
     /// named is no change, unless the store was read before without one.
-    pub fn rise(&self, era: StoreEra, now: Instant) -> bool {
+    pub fn advance(&self, era: StoreEra, now: Instant) -> bool {
         let before = self.known.get();
         if era <= before {
             return false;
         }
         self.known.set(era);
-        self.named_later.set(None);
+        self.unconfirmed_era.set(None);
         self.confirmed_at.set(now);
-        let is_change = before != StoreEra::UNNAMED || self.has_unnamed.get();
+        let is_change = before != StoreEra::UNNAMED || self.has_read_unnamed.get();
         if is_change {
             self.changed_at.borrow_mut().push_back(now);
             self.changes.send_modify(|changes| *changes += 1);
@@ -179,35 +181,38 @@
 
 /// Takes in the era that an answer of the store names; the era of the answer, or an error where it is of an earlier
 /// one, or names a later one that is not confirmed yet.
-pub(super) fn take_answered(state: &GatewayState, told: &ToldEra) -> Result<StoreEra, StoreError> {
+pub(super) fn accept_answer_era(
+    state: &GatewayState,
+    told: &AnswerEra,
+) -> Result<StoreEra, StoreError> {
     let eras = &state.store_eras;
     match eras.read(told, Instant::now()) {
-        EraReading::Current => {}
-        EraReading::Later(era) => take_later(state, era, "store"),
-        EraReading::Earlier(_) => {
+        EraVerdict::Current => {}
+        EraVerdict::Later(era) => adopt_later_era(state, era, "store"),
+        EraVerdict::Earlier(_) => {
             reject(state, "earlier", told);
-            return Err(StoreError::EarlierEra);
+            return Err(StoreError::StaleEra);
         }
-        EraReading::Unconfirmed(_) => return Err(StoreError::OtherEra),
-        EraReading::Doubtful => reject(state, "doubtful", told),
+        EraVerdict::Unconfirmed(_) => return Err(StoreError::EraChanged),
+        EraVerdict::Doubtful => reject(state, "doubtful", told),
     }
     Ok(eras.known())
 }
 
-/// Takes in the era that the daemon `teller` knows; one of an earlier version tells none.
-pub fn take_told_era(state: &GatewayState, told: Option<u64>, teller: &str) {
-    let told = StoreEra::told(told);
+/// Takes in the era that the daemon `source` knows; one of an earlier version tells none.
+pub fn adopt_peer_era(state: &GatewayState, told: Option<u64>, source: &str) {
+    let told = StoreEra::from_number(told);
     let eras = &state.store_eras;
     if told > eras.known() && eras.may_change(Instant::now()) {
-        take_later(state, told, teller);
+        adopt_later_era(state, told, source);
     }
 }
 
 /// Takes in a later era. What was read before may be gone, so every reader lists anew; kept connections may lead to the copy
 /// before, and are closed.
-fn take_later(state: &GatewayState, era: StoreEra, teller: &str) {
+fn adopt_later_era(state: &GatewayState, era: StoreEra, source: &str) {
     let before = state.store_eras.known();
-    let is_change = state.store_eras.rise(era, Instant::now());
+    let is_change = state.store_eras.advance(era, Instant::now());
     let begin = StorePosition::unnamed(0).in_era(era);
     let mut lease = state.lease.borrow_mut();
     lease.on_store_position(state.now(), begin);
@@ -221,7 +226,7 @@
     metrics.store_era_changes.inc();
     log_event!(
         gateway::STORE_ERA_CHANGED,
-        "era={era} before={before} told_by={teller} position_before={}",
+        "era={era} before={before} told_by={source} position_before={}",
         state.store_position.get()
     );
     state.store.clear();
@@ -232,7 +237,7 @@
 }
 
 /// Logs, once for each kind of answer, and counts that the era of an answer was not what it should be.
-fn reject(state: &GatewayState, what: &str, told: &ToldEra) {
+fn reject(state: &GatewayState, what: &str, told: &AnswerEra) {
     let detail = format!("{told:?} after {}", state.store_eras.known());
     state.reject(Rejected::StoreEra, what, UnreadableReason::Fields, detail);
 }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -22,46 +22,46 @@
 use crate::state::{GatewayState, JUST_STARTED};
 
 /// How long one watch waits for a change.
-const WATCH_WAIT: Duration = Duration::from_secs(15);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The pause between a watch that ended and the next list.
-const PAUSE_AFTER_WATCH: Duration = Duration::from_millis(200);
+const RELIST_DELAY: Duration = Duration::from_millis(200);
 
 /// The pause between two watches of daemons, which come in crowds and don't matter at once.
-const DAEMONS_PAUSE: Duration = Duration::from_millis(600);
+const DAEMONS_WATCH_DELAY: Duration = Duration::from_millis(600);
 
 /// The pause between two watches of replicas: while new weights are loaded an entry changes every few ten
 /// milliseconds, and each watch that returns is paid for. A tenth of the time in which a replica that is
 /// leaving may still get requests (`drainMs`, 2 s).
-const REPLICAS_PAUSE: Duration = Duration::from_millis(200);
+const REPLICAS_WATCH_DELAY: Duration = Duration::from_millis(200);
 
 /// The pause between two watches of requests that end replicas: several are held, tried and cleared within seconds, and daemons
 /// tell each other of that. Only what an operator releases is heard of so much later.
-const QUARANTINE_PAUSE: Duration = Duration::from_millis(600);
+const QUARANTINE_WATCH_DELAY: Duration = Duration::from_millis(600);
 
 /// How long a list waits that may wait: what comes and goes within that time, such as a reader while the store is in trouble,
 /// costs no list (457 instead of 484 calls a day, mean of 18 standard days).
-const UNHURRIED_PAUSE: Duration = Duration::from_millis(2500);
+const DEFERRED_LIST_DELAY: Duration = Duration::from_millis(2500);
 
 /// How often a watch looks whether the store has changed without it. With a read of the configuration each
 /// 0.9 s, which tells the store's revision, an answer that was lost is asked for again within 1.4 s; a replica
 /// that leaves may get requests for 2 s (`drainMs`).
-const LOST_ANSWER_LOOK: Duration = Duration::from_millis(500);
+const LOST_ANSWER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Follows `kind` whenever this daemon reads the store for its group. Whenever a watch ends otherwise than
 /// by an answer, the list is read anew, since changes may have been missed. So is it after trouble at the store:
 /// a watch from before may be deaf. A watch also ends when the store changes its era, see [`super::era`].
 pub async fn run(state: Rc<GatewayState>, kind: ObjectKind) {
     if let Some(objects) = first_list(&state, kind).await {
-        take_list(&state, kind, objects, StorePosition::default());
+        apply_list(&state, kind, objects, StorePosition::default());
     }
     let mut failures = 0;
     let mut listed_in = state.store_eras.changes();
     loop {
         state.peers.until_reader().await;
         let is_of_other_era = state.store_eras.changes() != listed_in;
-        if is_unhurried(&state, kind) && !is_of_other_era {
-            tokio::time::sleep(UNHURRIED_PAUSE).await;
+        if is_list_deferrable(&state, kind) && !is_of_other_era {
+            tokio::time::sleep(DEFERRED_LIST_DELAY).await;
             if !state.peers.is_reader.get() {
                 continue;
             }
@@ -72,7 +72,7 @@
             Ok((objects, position)) => {
                 failures = 0;
                 listed_in = state.store_eras.changes();
-                take_list(&state, kind, objects, position);
+                apply_list(&state, kind, objects, position);
                 note_following(&state, kind, Some(began));
                 tokio::select! {
                     error = watch_from(&state, kind, position) => {
@@ -82,12 +82,12 @@
                     () = state.store_outage.ended() => {}
                 }
                 note_following(&state, kind, None);
-                tokio::time::sleep(PAUSE_AFTER_WATCH).await;
+                tokio::time::sleep(RELIST_DELAY).await;
             }
             Err(error) => {
                 failures += 1;
                 log::debug!("list of {kind:?} failed: {error}");
-                let pause = state.store_outage.follower_pause(failures);
+                let pause = state.store_outage.follower_backoff(failures);
                 state.store_outage.wait(pause).await;
             }
         }
@@ -95,7 +95,7 @@
 }
 
 /// Whether a list may wait: daemons tell each other what is quarantined, so one that has run for a while knows it from them.
-fn is_unhurried(state: &GatewayState, kind: ObjectKind) -> bool {
+fn is_list_deferrable(state: &GatewayState, kind: ObjectKind) -> bool {
     kind == ObjectKind::Quarantine && state.now() > JUST_STARTED
 }
 
@@ -141,20 +141,20 @@
 ) -> StoreError {
     loop {
         let page = tokio::select! {
-            page = watch(state, kind, position, WATCH_WAIT) => page,
-            () = until_overtaken(state, kind) => continue,
+            page = watch(state, kind, position, WATCH_TIMEOUT) => page,
+            () = until_store_advances(state, kind) => continue,
         };
         match page {
             Ok(page) => {
                 for event in page.events {
-                    take_event(state, kind, event.object, event.is_deleted);
+                    apply_event(state, kind, event.object, event.is_deleted);
                 }
                 state.registry_changed();
                 position = position.max(page.position);
                 if kind == ObjectKind::Weights {
                     state.known_namings.note_read(position);
                 }
-                if let Some(pause) = pause_between_watches(kind) {
+                if let Some(pause) = watch_delay(kind) {
                     tokio::time::sleep(pause).await;
                 }
             }
@@ -166,13 +166,13 @@
 /// Ends when the answer of a watch that begins now may be lost, since the store has changed without it: an answer can
 /// be lost without a call that fails. The change may be one of another kind, so the watch is asked again from where it
 /// stood, once for each look. Only for kinds whose changes must be known within a bound, and of which nothing else tells.
-async fn until_overtaken(state: &GatewayState, kind: ObjectKind) {
+async fn until_store_advances(state: &GatewayState, kind: ObjectKind) {
     if !matches!(kind, ObjectKind::Replicas | ObjectKind::Weights) {
         return std::future::pending().await;
     }
     let position = state.store_position.get();
     loop {
-        tokio::time::sleep(LOST_ANSWER_LOOK).await;
+        tokio::time::sleep(LOST_ANSWER_CHECK_INTERVAL).await;
         if state.store_position.get() > position {
             return;
         }
@@ -180,46 +180,46 @@
 }
 
 /// How long changes of a kind gather before the next watch asks for them.
-fn pause_between_watches(kind: ObjectKind) -> Option<Duration> {
+fn watch_delay(kind: ObjectKind) -> Option<Duration> {
     match kind {
-        ObjectKind::Daemons => Some(DAEMONS_PAUSE),
-        ObjectKind::Replicas => Some(REPLICAS_PAUSE),
-        ObjectKind::Quarantine => Some(QUARANTINE_PAUSE),
+        ObjectKind::Daemons => Some(DAEMONS_WATCH_DELAY),
+        ObjectKind::Replicas => Some(REPLICAS_WATCH_DELAY),
+        ObjectKind::Quarantine => Some(QUARANTINE_WATCH_DELAY),
         ObjectKind::Configuration | ObjectKind::Weights | ObjectKind::Leases => None,
     }
 }
 
 /// Takes in the whole list of objects as it was at `position`.
-fn take_list(
+fn apply_list(
     state: &GatewayState,
     kind: ObjectKind,
     objects: Vec<StoredObject>,
     position: StorePosition,
 ) {
     if kind == ObjectKind::Leases {
-        take_lease_list(state, objects);
+        apply_lease_list(state, objects);
         return;
     }
     if kind == ObjectKind::Weights {
-        follow_weights::take_list(state, objects);
+        follow_weights::apply_list(state, objects);
         state.known_namings.note_read(position);
         return;
     }
     if matches!(kind, ObjectKind::Replicas | ObjectKind::Daemons) {
-        take_items(state, kind, objects);
+        apply_item_list(state, kind, objects);
         return;
     }
     if kind == ObjectKind::Quarantine {
-        quarantine::take_list(state, &objects, position);
+        quarantine::apply_list(state, &objects, position);
     }
     for object in objects {
-        take_event(state, kind, object, false);
+        apply_event(state, kind, object, false);
     }
 }
 
 /// Takes in the whole list of replicas or daemons: what is not in it is gone, but for daemons that may have to write their
 /// entries again.
-pub fn take_items(state: &GatewayState, kind: ObjectKind, objects: Vec<StoredObject>) {
+pub fn apply_item_list(state: &GatewayState, kind: ObjectKind, objects: Vec<StoredObject>) {
     state.peers.learnt_elsewhere();
     if kind == ObjectKind::Daemons {
         state.peers.note_daemons_known();
@@ -234,18 +234,18 @@
     let mut known: Vec<ItemKey> = state.peers.log.borrow().items().map(Item::key).collect();
     let held_back = state.gone_lives.borrow().held_back();
     known.extend(held_back.into_iter().map(ItemKey::Replica));
-    let is_awaited = |key: &ItemKey| {
+    let is_missing_entry_tolerated = |key: &ItemKey| {
         let changed_ago = state.store_eras.changed_ago(Instant::now());
-        matches!(key, ItemKey::Daemon(_)) && own_entry::is_awaited(changed_ago)
+        matches!(key, ItemKey::Daemon(_)) && own_entry::is_missing_entry_tolerated(changed_ago)
     };
     let gone = known
         .into_iter()
-        .filter(|key| is_of_kind(key) && !listed.contains(key) && !is_awaited(key));
+        .filter(|key| is_of_kind(key) && !listed.contains(key) && !is_missing_entry_tolerated(key));
     for key in gone {
         state.apply(Change::Gone(key));
     }
     for object in objects {
-        take_event(state, kind, object, false);
+        apply_event(state, kind, object, false);
     }
     state.registry_changed();
 }
@@ -259,10 +259,10 @@
     }
 }
 
-fn take_event(state: &GatewayState, kind: ObjectKind, object: StoredObject, is_deleted: bool) {
+fn apply_event(state: &GatewayState, kind: ObjectKind, object: StoredObject, is_deleted: bool) {
     if is_deleted {
         if kind == ObjectKind::Quarantine {
-            quarantine::take_deleted(state, &object.name);
+            quarantine::apply_deletion(state, &object.name);
         }
         if let Some(key) = item_key(kind, &object.name) {
             state.apply(Change::Gone(key));
@@ -277,20 +277,20 @@
         return note_unreadable(state, kind, &object);
     }
     match object.content {
-        Ok(ObjectContent::Configuration(_)) => take_configuration(state, object),
+        Ok(ObjectContent::Configuration(_)) => apply_configuration(state, object),
         Ok(ObjectContent::Replica(entry)) => {
             copied_entries::note_written(state, &entry.life.id, object.position);
             state.apply_stored(&entry);
         }
         Ok(ObjectContent::Weights(weights)) => {
-            follow_weights::take_written(state, &weights, object.position);
+            follow_weights::apply_written(state, &weights, object.position);
         }
         Ok(ObjectContent::Lease(_)) => {}
         Ok(ObjectContent::Daemon(daemon)) => {
             state.apply(Change::Put(Item::Daemon(WireDaemon::from(&daemon))));
         }
         Ok(ObjectContent::Quarantine(record)) => {
-            quarantine::take_record(state, &object.name, object.position, record);
+            quarantine::apply_record(state, &object.name, object.position, record);
         }
         Err(_) => {
             note_unreadable(state, kind, &object);
@@ -302,7 +302,7 @@
     }
 }
 
-fn take_lease_list(state: &GatewayState, objects: Vec<StoredObject>) {
+fn apply_lease_list(state: &GatewayState, objects: Vec<StoredObject>) {
     let lease = objects.iter().find(|object| object.name == LEASE_NAME);
     let known = lease.map(|object| (object.position, record_in(object)));
     state.lease.borrow_mut().on_list(state.now(), known);
@@ -312,7 +312,7 @@
 }
 
 /// Puts a configuration in force, unless a newer one is.
-pub fn take_configuration(state: &GatewayState, object: StoredObject) {
+pub fn apply_configuration(state: &GatewayState, object: StoredObject) {
     let configuration = match object.content {
         Ok(ObjectContent::Configuration(configuration)) => configuration,
         Ok(_) => return,
@@ -337,7 +337,11 @@
 }
 
 /// Takes in a configuration that the daemon `holder` handed on, unless it is no newer than the one in force.
-pub fn take_handed_configuration(state: &GatewayState, configuration: Configuration, holder: &str) {
+pub fn apply_handed_on_configuration(
+    state: &GatewayState,
+    configuration: Configuration,
+    holder: &str,
+) {
     let before = state.held_version();
     if configuration.version <= before {
         return;
--- a/crates/gateway/src/store/follow_weights.rs
+++ b/crates/gateway/src/store/follow_weights.rs
@@ -17,13 +17,13 @@
 /// How much of the time for new weights a daemon has that has just started, whatever their age. It may use older
 /// ones until it is in touch, 3 s (`contactMs`) after the start of its process; that lies up to 0.3 s before that
 /// of that daemon's clock; and it sends none to them in the last 1.5 s: 3 - 0.3 + 1.5.
-const FIRST_WEIGHTS_GRACE: Duration = Duration::from_millis(4200);
+const INITIAL_WEIGHTS_GRACE: Duration = Duration::from_millis(4200);
 
 /// The version of a model's weights that replicas start with (operator's pages).
 const FIRST_VERSION: u64 = 1;
 
 /// Takes in an object as a watch tells of it.
-pub(super) fn take_written(state: &GatewayState, weights: &ModelVersion, position: StorePosition) {
+pub(super) fn apply_written(state: &GatewayState, weights: &ModelVersion, position: StorePosition) {
     note_stored_weights(state, weights, position);
     // A change of an object whose version is known is no naming.
     let newest = state.weights.borrow().newest(&weights.model);
@@ -38,22 +38,22 @@
 }
 
 /// Takes in a list of wanted weights.
-pub(super) fn take_list(state: &GatewayState, objects: Vec<StoredObject>) {
-    let unknown = listed_weights_since(state);
+pub(super) fn apply_list(state: &GatewayState, objects: Vec<StoredObject>) {
+    let fallback = assumed_since(state);
     for object in objects {
         note_unreadable(state, ObjectKind::Weights, &object);
         if let Ok(ObjectContent::Weights(weights)) = object.content {
-            take_listed(state, &weights, object.position, unknown);
+            apply_listed(state, &weights, object.position, fallback);
         }
     }
 }
 
-/// Takes in an object as a list shows it; `unknown` is since when weights count of whose naming nothing is known.
-fn take_listed(
+/// Takes in an object as a list shows it; `fallback` is since when weights count of whose naming nothing is known.
+fn apply_listed(
     state: &GatewayState,
     weights: &ModelVersion,
     position: StorePosition,
-    unknown: Since,
+    fallback: Since,
 ) {
     let newest = state.weights.borrow().newest(&weights.model);
     let named_after = named_after(state, position);
@@ -72,9 +72,9 @@
     if newest >= Some(weights.version) {
         return;
     }
-    name_weights(state, weights, named_after.map_or(unknown, Since::Known));
-    if let Some(passed_over) = passed_over(weights, newest.or(first_version(state))) {
-        name_weights(state, &passed_over, since_last_known(state, unknown));
+    name_weights(state, weights, named_after.map_or(fallback, Since::Known));
+    if let Some(skipped_version) = skipped_version(weights, newest.or(first_version(state))) {
+        name_weights(state, &skipped_version, since_last_known(state, fallback));
     }
 }
 
@@ -99,7 +99,7 @@
         return;
     };
     let model = model.to_owned();
-    let since = since_last_known(state, listed_weights_since(state));
+    let since = since_last_known(state, assumed_since(state));
     let weights = ModelVersion { model, version };
     suspect_weights(state, Suspicion { weights, since }, reason);
 }
@@ -109,7 +109,7 @@
     let now = Instant::now();
     let shown_for_long = state.suspected_weights.borrow_mut().note_shown(shown, now);
     for weights in shown_for_long {
-        let since = listed_weights_since(state);
+        let since = assumed_since(state);
         suspect_weights(state, Suspicion { weights, since }, "shown by a replica");
     }
 }
@@ -142,7 +142,7 @@
 }
 
 /// The oldest version that was named between the newest one that is known and `listed`: versions count up by one.
-fn passed_over(listed: &ModelVersion, newest: Option<u64>) -> Option<ModelVersion> {
+fn skipped_version(listed: &ModelVersion, newest: Option<u64>) -> Option<ModelVersion> {
     let version = newest?.checked_add(1)?;
     (version < listed.version).then(|| ModelVersion {
         model: listed.model.clone(),
@@ -150,51 +150,51 @@
     })
 }
 
-/// Since when a version counts that was named at an unknown moment after all namings had been known, as far as that is
+/// Since when a version counts that was named at an fallback moment after all namings had been known, as far as that is
 /// known: weights that it follows must not serve longer since its own naming was not seen.
-fn since_last_known(state: &GatewayState, unknown: Since) -> Since {
+fn since_last_known(state: &GatewayState, fallback: Since) -> Since {
     let progress = state.store_progress.borrow();
     let known_until = state.known_namings.until(&progress);
-    known_until.map_or(unknown, Since::Known)
+    known_until.map_or(fallback, Since::Known)
 }
 
 /// Since when weights count that are listed and of which no read before their naming is known. They may be wanted
 /// for any time: they count as old, but for the time in which a daemon that has just started is not yet held to
 /// them.
-fn listed_weights_since(state: &GatewayState) -> Since {
+fn assumed_since(state: &GatewayState) -> Since {
     let deadline = state.times.get().weights_deadline;
     // Where the store did not answer at first, nobody could load anything before it did; and a daemon that lists
     // them late in its life has known of weights from others.
     let now = Instant::now();
-    let was_in_trouble = state.store_outage.was_lately(now);
+    let was_in_trouble = state.store_outage.had_recent_failure(now);
     let listing_possible_for = match was_in_trouble || state.now() > JUST_STARTED {
         true => Duration::ZERO,
         false => state.now(),
     };
-    let age = first_weights_age(deadline, listing_possible_for);
+    let age = initial_weights_age(deadline, listing_possible_for);
     let assumed = now.checked_sub(age).unwrap_or(now);
     // In a new era of the store, what was named before the last read of the era before is known: replicas with older weights
     // must not all go out of use at once because the naming itself was not seen.
     let progress = state.store_progress.borrow();
-    let known_at = progress.last_before(state.store_eras.known());
+    let known_at = progress.last_read_before_era(state.store_eras.known());
     Since::Assumed(known_at.map_or(assumed, |known_at| assumed.max(known_at)))
 }
 
 /// The moment after which an object got its position, as far as that is known: they may be heard of late.
 fn named_after(state: &GatewayState, position: StorePosition) -> Option<Instant> {
-    state.store_progress.borrow().not_before(position)
+    state.store_progress.borrow().last_read_before(position)
 }
 
 /// The age at which weights count that are listed for the first time, by a daemon that could have listed them
 /// `since` so long.
-pub fn first_weights_age(deadline: Duration, since: Duration) -> Duration {
-    deadline.saturating_sub(FIRST_WEIGHTS_GRACE.saturating_sub(since))
+pub fn initial_weights_age(deadline: Duration, since: Duration) -> Duration {
+    deadline.saturating_sub(INITIAL_WEIGHTS_GRACE.saturating_sub(since))
 }
 
 /// Takes in weights that are wanted since `since`.
 pub fn name_weights(state: &GatewayState, weights: &ModelVersion, since: Since) {
     let age = since.moment().elapsed();
-    let is_newest = state.weights.borrow_mut().name(weights, since);
+    let is_newest = state.weights.borrow_mut().add(weights, since);
     state.weights_named.notify_waiters();
     if !is_newest {
         return;
--- a/crates/gateway/src/store/known_namings.rs
+++ b/crates/gateway/src/store/known_namings.rs
@@ -38,7 +38,7 @@
 
     /// The latest moment up to which all are known, where `progress` tells how far the store had come when.
     pub fn until(&self, progress: &StoreProgress) -> Option<Instant> {
-        let read = progress.last_up_to(self.read.get());
+        let read = progress.last_read_up_to(self.read.get());
         read.max(self.told.get())
     }
 }
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -16,12 +16,14 @@
 mod rejections;
 
 pub use client::{CALL_TIMEOUT, StoreError, list_all, list_recent, watch, write};
-pub use era::{EraReading, LOWER_ERA_PATIENCE, StoreEras, ToldEra, read_era, take_told_era};
-pub use follow::take_handed_configuration;
-pub use follow_weights::{first_weights_age, name_weights, note_shown_weights, suspect_weights};
+pub use era::{
+    AnswerEra, EraVerdict, LOWER_ERA_REJECTION_WINDOW, StoreEraTracker, adopt_peer_era, read_era,
+};
+pub use follow::apply_handed_on_configuration;
+pub use follow_weights::{initial_weights_age, name_weights, note_shown_weights, suspect_weights};
 pub use join::join_daemons;
 pub use known_namings::KnownNamings;
-pub use outage::{StoreOutage, pause_after, pause_after_call};
+pub use outage::{StoreOutage, backoff_after, backoff_after_call};
 pub use position::{StoreEra, StorePosition};
 pub use progress::StoreProgress;
 pub use quarantine::{QuarantineObject, delete_quarantined, list_quarantined};
@@ -35,8 +37,8 @@
 /// Starts the tasks that follow the store, on the present thread.
 pub fn spawn_all(state: &Rc<GatewayState>) {
     ntex::rt::spawn(configuration_reader::run(Rc::clone(state)));
-    ntex::rt::spawn(quarantine::keep(Rc::clone(state)));
-    ntex::rt::spawn(own_entry::keep(Rc::clone(state)));
+    ntex::rt::spawn(quarantine::run(Rc::clone(state)));
+    ntex::rt::spawn(own_entry::run(Rc::clone(state)));
     let followed = [
         ObjectKind::Configuration,
         ObjectKind::Replicas,
--- a/crates/gateway/src/store/outage.rs
+++ b/crates/gateway/src/store/outage.rs
@@ -11,39 +11,39 @@
 use tokio::sync::Notify;
 
 /// The pause after the first call that failed; each further one in a row twice as long.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
 /// The longest time from the beginning of one call to that of the next: within it a daemon that the others can't
 /// reach finds out for itself, with a second left to catch up before it is in touch again (`contactMs`, 3 s).
-const LONGEST_PAUSE: Duration = Duration::from_millis(1800);
+const MAX_BACKOFF: Duration = Duration::from_millis(1800);
 
 /// The pause after so many calls in a row that failed.
-pub fn pause_after(failures: u32) -> Duration {
+pub fn backoff_after(failures: u32) -> Duration {
     let doublings = failures.saturating_sub(1).min(8);
-    FIRST_PAUSE
-        .saturating_mul(1 << doublings)
-        .min(LONGEST_PAUSE)
+    MIN_BACKOFF.saturating_mul(1 << doublings).min(MAX_BACKOFF)
 }
 
 /// The pause after so many calls in a row that failed, the last of which `took` so long. The time that a call
-/// hung is part of the pause: a store that came back just after the call began never answers it.
-pub fn pause_after_call(failures: u32, took: Duration) -> Duration {
-    pause_after(failures).saturating_sub(took).max(FIRST_PAUSE)
+/// hung is part of the pause: a store that came back just after the call began never answering it.
+pub fn backoff_after_call(failures: u32, took: Duration) -> Duration {
+    backoff_after(failures)
+        .saturating_sub(took)
+        .max(MIN_BACKOFF)
 }
 
 /// How long a task waits that follows objects, while the reader of the configuration finds the store down: that
-/// one alone looks whether it answers again, which ends this pause.
-const FOLLOWER_PAUSE: Duration = Duration::from_secs(4);
+/// one alone looks whether it answering again, which ends this pause.
+const FOLLOWER_BACKOFF: Duration = Duration::from_secs(4);
 
 /// For how long after a call that failed an answer of the store may be lost that still is waited for: a little
 /// longer than a watch waits (16.5 s).
-const TROUBLE_MEMORY: Duration = Duration::from_secs(18);
+const LOST_ANSWER_WINDOW: Duration = Duration::from_secs(18);
 
 /// Whether the store is down, and the tasks that wait for it.
 #[derive(Debug, Default)]
 pub struct StoreOutage {
-    is_on: Cell<bool>,
-    answers: Notify,
+    is_active: Cell<bool>,
+    answering: Notify,
     ended: Notify,
     failed_call_began: Cell<Option<Instant>>,
     failed_list_began: Cell<Option<Instant>>,
@@ -52,27 +52,27 @@
 impl StoreOutage {
     /// The configuration could not be read.
     pub fn begin(&self) {
-        self.is_on.set(true);
+        self.is_active.set(true);
     }
 
-    /// The configuration was read, or another daemon announced that the store answers: every wait ends.
+    /// The configuration was read, or another daemon announced that the store answering: every wait ends.
     pub fn end(&self) {
-        if self.is_on.replace(false) {
+        if self.is_active.replace(false) {
             self.ended.notify_waiters();
         }
-        self.answers.notify_waiters();
+        self.answering.notify_waiters();
     }
 
-    /// Whether the last read of the configuration failed, and nobody has announced since that the store answers.
-    pub fn is_on(&self) -> bool {
-        self.is_on.get()
+    /// Whether the last read of the configuration failed, and nobody has announced since that the store answering.
+    pub fn is_active(&self) -> bool {
+        self.is_active.get()
     }
 
     /// When the store was last seen to be down, where this daemon has seen no end of that yet: as the last call
     /// began that failed. Such a call may hang on after the store is back, and prove nothing later.
-    pub fn was_down_at(&self) -> Option<Instant> {
+    pub fn last_seen_down_at(&self) -> Option<Instant> {
         let failed_call_began = self.failed_call_began.get();
-        failed_call_began.filter(|_| self.is_on.get())
+        failed_call_began.filter(|_| self.is_active.get())
     }
 
     /// Waits until an outage ends that this daemon has seen itself. What was asked before and still waits may
@@ -99,40 +99,40 @@
         self.failed_list_began.set(latest);
     }
 
-    /// Whether a call failed so lately that answers may be lost which are still waited for.
-    pub fn was_lately(&self, now: Instant) -> bool {
+    /// Whether a call failed so lately that answering may be lost which are still waited for.
+    pub fn had_recent_failure(&self, now: Instant) -> bool {
         let began = self.failed_call_began.get();
-        began.is_some_and(|began| now.saturating_duration_since(began) < TROUBLE_MEMORY)
+        began.is_some_and(|began| now.saturating_duration_since(began) < LOST_ANSWER_WINDOW)
     }
 
     /// The pause of a task that follows objects after so many lists in a row that failed.
-    pub fn follower_pause(&self, failures: u32) -> Duration {
-        match self.is_on.get() {
-            true => FOLLOWER_PAUSE,
-            false => pause_after(failures),
+    pub fn follower_backoff(&self, failures: u32) -> Duration {
+        match self.is_active.get() {
+            true => FOLLOWER_BACKOFF,
+            false => backoff_after(failures),
         }
     }
 
-    /// Waits for a while, or until the store answers again.
+    /// Waits for a while, or until the store answering again.
     pub async fn wait(&self, pause: Duration) {
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = self.answers.notified() => {}
+            () = self.answering.notified() => {}
         }
     }
 
-    /// Waits for as long as a task that follows objects, or until the store answers again.
-    pub async fn wait_long(&self) {
-        self.wait(FOLLOWER_PAUSE).await;
+    /// Waits for as long as a task that follows objects, or until the store answering again.
+    pub async fn wait_as_follower(&self) {
+        self.wait(FOLLOWER_BACKOFF).await;
     }
 
-    /// Makes a call, and makes it anew where the store answers again meanwhile: the first one may have been
-    /// sent to a store that was down, which never answers it. Returns when the one began whose result it is.
+    /// Makes a call, and makes it anew where the store answering again meanwhile: the first one may have been
+    /// sent to a store that was down, which never answering it. Returns when the one began whose result it is.
     pub async fn call<R, F: Future<Output = R>>(&self, call: impl Fn() -> F) -> (Instant, R) {
         let began = Instant::now();
         tokio::select! {
             result = call() => (began, result),
-            () = self.answers.notified() => (Instant::now(), call().await),
+            () = self.answering.notified() => (Instant::now(), call().await),
         }
     }
 }
--- a/crates/gateway/src/store/position.rs
+++ b/crates/gateway/src/store/position.rs
@@ -22,7 +22,7 @@
     }
 
     /// The era that another daemon or an object of the store tells, if any.
-    pub const fn told(number: Option<u64>) -> Self {
+    pub const fn from_number(number: Option<u64>) -> Self {
         Self(number)
     }
 
--- a/crates/gateway/src/store/progress.rs
+++ b/crates/gateway/src/store/progress.rs
@@ -12,7 +12,7 @@
 
 /// Positions that are remembered, each with the latest read that told it: those of the last half minute where the store
 /// changes about once a second.
-const REMEMBERED_READS: usize = 32;
+const MAX_READS: usize = 32;
 
 /// What reads of the store have told, older ones first.
 #[derive(Debug, Default)]
@@ -41,20 +41,20 @@
         }
         let place = self.reads.partition_point(|read| read.began <= began);
         self.reads.insert(place, Read { began, position });
-        while self.reads.len() > REMEMBERED_READS {
+        while self.reads.len() > MAX_READS {
             self.reads.pop_front();
         }
     }
 
     /// When the last read began that told a position of an earlier era than `era`.
-    pub fn last_before(&self, era: StoreEra) -> Option<Instant> {
+    pub fn last_read_before_era(&self, era: StoreEra) -> Option<Instant> {
         let mut reads = self.reads.iter().rev();
         let last = reads.find(|read| read.position.era < era)?;
         Some(last.began)
     }
 
     /// The latest moment at which the store is known not to have gone beyond `position`; nothing where none is known.
-    pub fn last_up_to(&self, position: StorePosition) -> Option<Instant> {
+    pub fn last_read_up_to(&self, position: StorePosition) -> Option<Instant> {
         let mut reads = self.reads.iter().rev();
         let last = reads
             .find(|read| read.position == position || read.position.is_before_in_era(position))?;
@@ -62,7 +62,7 @@
     }
 
     /// The latest moment at which the store is known not to have reached `position`; nothing where none is known.
-    pub fn not_before(&self, position: StorePosition) -> Option<Instant> {
+    pub fn last_read_before(&self, position: StorePosition) -> Option<Instant> {
         let before = self.reads.iter().rev();
         let last = before
             .into_iter()
--- a/crates/gateway/src/store/quarantine.rs
+++ b/crates/gateway/src/store/quarantine.rs
@@ -28,16 +28,16 @@
 use crate::upstream::{self, Pool};
 
 /// The time between two tries to write a record or to remove some, doubled after each one in a row that failed.
-const RETRY: Duration = Duration::from_millis(1000);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(1000);
 
 /// How often it is doubled: a store that is down for long is called each 8 s by three daemons for each record.
-const RETRY_DOUBLINGS: u32 = 3;
+const MAX_RETRY_DOUBLINGS: u32 = 3;
 
 /// The time after which old records are looked for while nothing else is to be done.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_INTERVAL: Duration = Duration::from_secs(60);
 
 /// How far apart strikes are taken to have been that are known from the store, which tells no times.
-const APART: Duration = Duration::from_secs(1);
+const ASSUMED_STRIKE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An object of the quarantine.
 pub type QuarantineObject = StoredObject;
@@ -93,16 +93,16 @@
     }
 }
 
-/// The rest between two tries of the same call that failed. Other news don't end it: while replicas end they come many times a
+/// The backoff between two tries of the same call that failed. Other news don't end it: while replicas end they come many times a
 /// second.
 #[derive(Debug, Clone, Copy, Default)]
-struct Rest {
+struct Backoff {
     failures: u32,
     until: Duration,
 }
 
-impl Rest {
-    fn is_over(&self, now: Duration) -> bool {
+impl Backoff {
+    fn has_elapsed(&self, now: Duration) -> bool {
         now >= self.until
     }
 
@@ -111,42 +111,42 @@
             *self = Self::default();
             return;
         }
-        self.failures = (self.failures + 1).min(RETRY_DOUBLINGS);
-        self.until = now + RETRY * (1 << self.failures);
+        self.failures = (self.failures + 1).min(MAX_RETRY_DOUBLINGS);
+        self.until = now + MIN_RETRY_DELAY * (1 << self.failures);
     }
 }
 
-/// A record that the store does not keep as it is.
+/// A record that the store does not run as it is.
 #[derive(Debug, Clone, Copy)]
 struct Unstored {
     since: Duration,
-    rest: Rest,
+    backoff: Backoff,
 }
 
 /// Keeps the records in the store, for ever.
-pub(super) async fn keep(state: Rc<GatewayState>) {
+pub(super) async fn run(state: Rc<GatewayState>) {
     let mut unstored: HashMap<Fingerprint, Unstored> = HashMap::new();
-    let mut rest_of_removals = Rest::default();
-    let mut pause = IDLE;
+    let mut removal_backoff = Backoff::default();
+    let mut pause = IDLE_INTERVAL;
     loop {
-        // Ends early when there is something to keep.
+        // Ends early when there is something to run.
         let _ = tokio::time::timeout(pause, state.quarantine.kept.notified()).await;
         forget_old(&state);
-        if rest_of_removals.is_over(state.quarantine.now()) {
+        if removal_backoff.has_elapsed(state.quarantine.now()) {
             let is_done = remove_all(&state).await;
-            rest_of_removals.note(is_done, state.quarantine.now());
+            removal_backoff.note(is_done, state.quarantine.now());
         }
         for fingerprint in note_unstored(&state, &mut unstored) {
             let is_done = store_one(&state, fingerprint).await;
             if let Some(unstored) = unstored.get_mut(&fingerprint) {
-                unstored.rest.note(is_done, state.quarantine.now());
+                unstored.backoff.note(is_done, state.quarantine.now());
             }
         }
         let count = state.quarantine.read(|ledger| ledger.quarantined().count());
         let count = i64::try_from(count).unwrap_or(i64::MAX);
         state.status.metrics.fingerprints_quarantined.set(count);
-        let has_more = !unstored.is_empty() || rest_of_removals.failures > 0;
-        pause = if has_more { TURN } else { IDLE };
+        let has_more = !unstored.is_empty() || removal_backoff.failures > 0;
+        pause = if has_more { TURN } else { IDLE_INTERVAL };
     }
 }
 
@@ -160,7 +160,7 @@
     }
 }
 
-/// Brings the list of what the store does not keep yet up to date; those that it is this daemon's turn to write.
+/// Brings the list of what the store does not run yet up to date; those that it is this daemon's turn to write.
 fn note_unstored(
     state: &GatewayState,
     unstored: &mut HashMap<Fingerprint, Unstored>,
@@ -178,7 +178,7 @@
     for fingerprint in wanted {
         unstored.entry(fingerprint).or_insert(Unstored {
             since: now,
-            rest: Rest::default(),
+            backoff: Backoff::default(),
         });
     }
     let directory = state.peers.directory();
@@ -186,7 +186,7 @@
     let unstored = unstored.iter();
     let due = unstored.filter(|(fingerprint, unstored)| {
         let lacking_for = now.saturating_sub(unstored.since);
-        unstored.rest.is_over(now) && is_turn(own_place(**fingerprint), lacking_for)
+        unstored.backoff.has_elapsed(now) && is_turn(own_place(**fingerprint), lacking_for)
     });
     due.map(|(fingerprint, _)| *fingerprint).collect()
 }
@@ -202,12 +202,12 @@
     let era = state.store_eras.known();
     let expected = record.stored.position.filter(|stored| stored.era == era);
     let name = fingerprint.to_string();
-    let wanted = content_of(&record);
+    let wanted = record_to_store(&record);
     let content = ObjectContent::Quarantine(wanted.clone());
     let mut answer = write(state, ObjectKind::Quarantine, &name, &content, expected).await;
     if let WriteAnswer::Conflict(found) = answer {
         if let Some(found) = &found
-            && is_settled_by(state, fingerprint, found, &wanted)
+            && is_superseded_by(state, fingerprint, found, &wanted)
         {
             return true;
         }
@@ -237,7 +237,7 @@
 }
 
 /// Takes in the object that is in the place of a record to be written; whether nothing is left to be written.
-fn is_settled_by(
+fn is_superseded_by(
     state: &GatewayState,
     fingerprint: Fingerprint,
     found: &StoredObject,
@@ -257,7 +257,7 @@
             true
         }
         Kept::Later => {
-            take_record(state, &found.name, found.position, kept.clone());
+            apply_record(state, &found.name, found.position, kept.clone());
             true
         }
         Kept::Part => false,
@@ -265,7 +265,7 @@
 }
 
 /// What the store keeps of a record: the strikes that count whole.
-fn content_of(record: &Record) -> QuarantineRecord {
+fn record_to_store(record: &Record) -> QuarantineRecord {
     let counted = record.strikes.iter().filter(|strike| !strike.is_coincident);
     QuarantineRecord {
         generation: record.generation,
@@ -299,7 +299,7 @@
 }
 
 /// Takes in a record as the store keeps it.
-pub(super) fn take_record(
+pub(super) fn apply_record(
     state: &GatewayState,
     name: &str,
     position: StorePosition,
@@ -337,7 +337,7 @@
         strikes: strikes
             .map(|(number, replica)| Strike {
                 replica: *replica,
-                at: now.saturating_sub(APART * (count - number)),
+                at: now.saturating_sub(ASSUMED_STRIKE_INTERVAL * (count - number)),
                 is_coincident: false,
                 began_at: None,
             })
@@ -363,14 +363,14 @@
 }
 
 /// Takes in that an object was deleted.
-pub(super) fn take_deleted(state: &GatewayState, name: &str) {
+pub(super) fn apply_deletion(state: &GatewayState, name: &str) {
     if let Some(fingerprint) = fingerprint_of(state, name) {
         state.quarantine.release(fingerprint);
     }
 }
 
 /// Takes in which objects there are: those that are gone were deleted while nobody watched.
-pub(super) fn take_list(state: &GatewayState, objects: &[StoredObject], position: StorePosition) {
+pub(super) fn apply_list(state: &GatewayState, objects: &[StoredObject], position: StorePosition) {
     let listed = objects
         .iter()
         .filter_map(|object| fingerprint_of(state, &object.name));
--- a/crates/gateway/src/store/rejections.rs
+++ b/crates/gateway/src/store/rejections.rs
@@ -65,18 +65,18 @@
             reason: unreadable.reason.to_string(),
         };
         metrics.rejected.get_or_create(&labels).inc();
-        if self.is_new(kind, name, unreadable) {
+        if self.is_first_occurrence(kind, name, unreadable) {
             log_event!(
                 gateway::ENTRY_REJECTED,
                 "kind={kind} object={:?} reason={} error={:?}",
-                beginning(name),
+                truncated(name),
                 unreadable.reason,
-                beginning(&unreadable.detail)
+                truncated(&unreadable.detail)
             );
         }
     }
 
-    fn is_new(&self, kind: Rejected, name: &str, unreadable: &Unreadable) -> bool {
+    fn is_first_occurrence(&self, kind: Rejected, name: &str, unreadable: &Unreadable) -> bool {
         let mut logged = self.logged.borrow_mut();
         let digest = xxh3_64(format!("{kind}/{name}/{}", unreadable.reason).as_bytes());
         logged.len() < MAX_LOGGED && logged.insert(digest)
@@ -84,6 +84,6 @@
 }
 
 /// The first bytes of a text, whole characters only.
-fn beginning(text: &str) -> &str {
+fn truncated(text: &str) -> &str {
     &text[..text.floor_char_boundary(MAX_LOGGED_BYTES)]
 }
