--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -199,7 +199,7 @@
             .map(|(position, record)| WireLease {
                 revision: position.revision,
                 holder: record.holder.clone(),
-                life: record.life,
+                life: record.incarnation,
                 token: record.token,
                 renewal: record.renewal,
                 era: position.era.number(),
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -320,7 +320,7 @@
     if let Some(lease) = &answer.lease {
         let record = LeaseRecord {
             holder: lease.holder.clone(),
-            life: lease.life,
+            incarnation: lease.life,
             token: lease.token,
             renewal: lease.renewal,
             era: StoreEra::from_number(lease.written_in),
--- a/crates/gateway/src/peers/convert.rs
+++ b/crates/gateway/src/peers/convert.rs
@@ -14,8 +14,8 @@
     fn from(entry: &ReplicaEntry) -> Self {
         let models = entry.models.iter();
         Self {
-            id: entry.life.id.clone(),
-            born: entry.life.born,
+            id: entry.incarnation.id.clone(),
+            born: entry.incarnation.born,
             service: entry.service.clone(),
             address: entry.address.to_string(),
             zone: entry.zone.clone(),
@@ -33,7 +33,7 @@
     pub fn to_entry(&self) -> Option<ReplicaEntry> {
         let models = self.models.iter();
         Some(ReplicaEntry {
-            life: ReplicaIncarnation {
+            incarnation: ReplicaIncarnation {
                 id: self.id.clone(),
                 born: self.born,
             },
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -243,8 +243,8 @@
 /// A replica as the store lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaEntry {
-    /// The life that wrote the entry.
-    pub life: ReplicaIncarnation,
+    /// The incarnation that wrote the entry.
+    pub incarnation: ReplicaIncarnation,
     /// Its service.
     pub service: String,
     /// Its address.
--- a/crates/gateway/src/protocol/own_records.rs
+++ b/crates/gateway/src/protocol/own_records.rs
@@ -10,7 +10,7 @@
     /// The machine that holds it; empty where it was given back.
     pub holder: String,
     /// The life of the daemon on it.
-    pub life: u64,
+    pub incarnation: u64,
     /// The fencing token, which rises with each acquisition.
     pub token: u64,
     /// Rises with each renewal.
--- a/crates/gateway/src/replicas/registry.rs
+++ b/crates/gateway/src/replicas/registry.rs
@@ -94,16 +94,17 @@
     /// Takes in one entry; it counts from [`Registry::index`] on. A life that has said that it is leaving never stays
     /// after all: an entry that says otherwise is older. So is one of an earlier life.
     pub fn put(&self, mut entry: ReplicaEntry) {
-        let known = self.get(&entry.life.id);
+        let known = self.get(&entry.incarnation.id);
         if known
             .as_ref()
-            .is_some_and(|known| entry.life.is_before(&known.life))
+            .is_some_and(|known| entry.incarnation.is_before(&known.life))
         {
             return;
         }
         self.note_birth(&entry);
-        let is_same =
-            |known: &Rc<Replica>| known.life == entry.life && known.pool.peer() == entry.address;
+        let is_same = |known: &Rc<Replica>| {
+            known.life == entry.incarnation && known.pool.peer() == entry.address
+        };
         match known.filter(is_same) {
             Some(known) => {
                 entry.is_draining |= known.entry().is_draining;
@@ -135,8 +136,8 @@
         log_event!(
             gateway::REPLICA_SEEN,
             "replica={} born={:?} service={} address={} zone={} models={:?}",
-            entry.life.id,
-            entry.life.born,
+            entry.incarnation.id,
+            entry.incarnation.born,
             entry.service,
             entry.address,
             entry.zone,
@@ -224,7 +225,7 @@
     /// Remembers that a service has replicas that say when their lives began, where this entry does.
     fn note_birth(&self, entry: &ReplicaEntry) {
         let mut services = self.services_with_births.borrow_mut();
-        let is_new = entry.life.born.is_some() && !services.contains(&entry.service);
+        let is_new = entry.incarnation.born.is_some() && !services.contains(&entry.service);
         if is_new && services.len() < MAX_SERVICES_WITH_BIRTHS {
             services.insert(entry.service.clone());
         }
@@ -266,7 +267,7 @@
         log_event!(
             gateway::REPLICA_CHANGED,
             "replica={} draining={} models={:?}",
-            entry.life.id,
+            entry.incarnation.id,
             entry.is_draining,
             entry.models
         );
--- a/crates/gateway/src/replicas/replica.rs
+++ b/crates/gateway/src/replicas/replica.rs
@@ -48,9 +48,9 @@
     /// The replica of a new entry.
     pub fn new(entry: ReplicaEntry) -> Rc<Self> {
         Rc::new(Self {
-            id_hash: xxh3_64(entry.life.id.as_bytes()),
-            life_hash: entry.life.digest(),
-            life: entry.life.clone(),
+            id_hash: xxh3_64(entry.incarnation.id.as_bytes()),
+            life_hash: entry.incarnation.digest(),
+            life: entry.incarnation.clone(),
             pool: Pool::new(entry.address),
             health: Health::default(),
             notices: ReplicaNotices::default(),
--- a/crates/gateway/src/rollout/lease.rs
+++ b/crates/gateway/src/rollout/lease.rs
@@ -253,7 +253,7 @@
             .filter(|seen| seen.is_of_its_era() && self.is_own(&seen.record))?;
         let record = LeaseRecord {
             holder: String::new(),
-            life: 0,
+            incarnation: 0,
             token: seen.record.token,
             renewal: seen.record.renewal + 1,
             era: self.era,
@@ -363,7 +363,7 @@
     }
 
     fn is_own(&self, record: &LeaseRecord) -> bool {
-        record.holder == self.machine && record.life == self.life
+        record.holder == self.machine && record.incarnation == self.life
     }
 
     /// Whether an object as seen shows that another daemon holds the lease. A write of an earlier era that took effect late
@@ -391,7 +391,7 @@
         LeaseAction::Write {
             record: LeaseRecord {
                 holder: self.machine.clone(),
-                life: self.life,
+                incarnation: self.life,
                 token,
                 renewal,
                 era: self.era,
@@ -408,7 +408,7 @@
         Ok(ObjectContent::Lease(record)) if record.token < MAX_TOKEN => record.clone(),
         _ => LeaseRecord {
             holder: UNKNOWN_HOLDER.to_owned(),
-            life: 0,
+            incarnation: 0,
             token: token_bound(object.position),
             renewal: 0,
             era: object.position.era,
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -316,9 +316,9 @@
 
     /// Takes in that a replica has started again, where its entry says so: ends are named after lives.
     fn note_next_life(&self, entry: &ReplicaEntry) {
-        let known = self.registry.get(&entry.life.id);
-        if let Some(before) = known.filter(|known| known.life.is_before(&entry.life)) {
-            let after = entry.life.digest();
+        let known = self.registry.get(&entry.incarnation.id);
+        if let Some(before) = known.filter(|known| known.life.is_before(&entry.incarnation)) {
+            let after = entry.incarnation.digest();
             self.quarantine.note_next_life(before.life_hash, after);
         }
     }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -279,7 +279,7 @@
     match object.content {
         Ok(ObjectContent::Configuration(_)) => apply_configuration(state, object),
         Ok(ObjectContent::Replica(entry)) => {
-            copied_entries::note_written(state, &entry.life.id, object.position);
+            copied_entries::note_written(state, &entry.incarnation.id, object.position);
             state.apply_stored(&entry);
         }
         Ok(ObjectContent::Weights(weights)) => {
