--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, tenants and what callers may send.
+//! The configuration: routes, services, tenants and limits on callers' requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,53 +8,52 @@
 use bytes::Bytes;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What may be done with a request again.
+/// Whether a request may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Safe,
-    /// It runs at most once.
+    /// The request may run at most once.
     Unsafe,
-    /// Its answer is a series of events; it runs at most once unless the route is resumable.
+    /// The answer is a stream of events; the request may run at most once unless the route is resumable.
     Streaming,
 }
 
-/// One part of the traffic of a route.
+/// A service that receives a share of a route's traffic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
-    /// The service.
+    /// The service's name.
     pub service: String,
-    /// Its share of the traffic, against the other weights of the route.
+    /// The weight of its share, relative to the other backends of the route.
     pub weight: u32,
 }
 
-/// A route.
+/// A route from a host and path prefix to services.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The host that callers name, without a port.
+    /// The host in callers' requests, without a port.
     pub host: String,
-    /// How the path begins.
+    /// The prefix of the request's path.
     pub path_prefix: String,
-    /// What may be done with its requests again.
+    /// Whether its requests may be repeated.
     pub kind: RouteKind,
-    /// How long a request may be held.
+    /// The maximum time that the gateway spends on a request.
     pub timeout: Duration,
-    /// The time in which an answer should begin.
+    /// The target for the time until an answer starts.
     pub objective: Duration,
-    /// How long callers wait for the first event of a stream before they give it up; nothing where no such bound
-    /// is known.
+    /// How long callers wait for the first event of a stream before they give up; `None` if no such limit is known.
     pub first_event_timeout: Option<Duration>,
-    /// Its rank; 0 is the most urgent.
+    /// The priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// How many replicas may run one request.
+    /// The maximum number of replicas that may run one request.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
-    /// Whether another replica may go on with a broken stream.
+    /// Whether another replica may resume a broken stream.
     pub is_resumable: bool,
-    /// Where its requests go.
+    /// The services that receive its requests.
     pub backends: Vec<Backend>,
 }
 
@@ -72,41 +71,41 @@
 /// A tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Its name, which replicas are told.
+    /// The tenant's name, which is sent to replicas.
     pub name: String,
-    /// Its rank, which goes before that of the route.
+    /// The priority of its requests, which overrides that of the route.
     pub priority: Option<u8>,
-    /// Whether it shares no cached prompt work with other tenants.
+    /// Whether its prompt cache entries are not shared with other tenants.
     pub is_isolated: bool,
-    /// What it may use, over all daemons together; none for no limit.
+    /// The tenant's quota over all gateways together; `None` for no limit.
     pub quota: Option<Quota>,
 }
 
-/// What a limit counts.
+/// The unit of a quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaUnit {
     /// Requests.
     Requests,
-    /// Tokens of prompts and answers; a request that names none counts as so many.
+    /// Tokens of prompts and answers.
     Tokens {
-        /// The tokens of a request without any.
+        /// The cost of a request that states no number of tokens.
         default_cost: u64,
     },
 }
 
-/// What a tenant may use.
+/// The quota of a tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    /// What is counted.
+    /// The unit that is counted.
     pub unit: QuotaUnit,
-    /// Units a second.
+    /// Units per second.
     pub per_second: f64,
-    /// Units beyond that at once.
+    /// Additional units that may be used in a burst.
     pub burst: f64,
 }
 
 impl Quota {
-    /// What a request counts whose prompt and answer are of `tokens`, where it says so.
+    /// The cost of a request whose prompt and answer have `tokens` in total, if it states that.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             QuotaUnit::Requests => 1,
@@ -115,84 +114,84 @@
     }
 }
 
-/// What a service of language models can do.
+/// The capacity of the replicas of a language model service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineLimits {
-    /// Requests that a replica works on at once.
+    /// Number of requests that a replica processes concurrently.
     pub slots: u32,
-    /// Tokens that a replica's memory holds.
+    /// Number of tokens that fit into a replica's cache memory.
     pub capacity_tokens: u64,
-    /// Bytes of one cached token.
+    /// Size of one cached token in bytes.
     pub bytes_per_token: u64,
-    /// What a replica's link carries, in megabits a second.
+    /// Bandwidth of a replica's link, in megabits per second.
     pub link_megabits: f64,
 }
 
-/// A store of cached prompt work beside the replicas.
+/// A KV store: an external prompt cache shared by replicas.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KvStore {
     /// Its address.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Tokens that it holds.
+    /// Its capacity in tokens.
     pub capacity_tokens: u64,
-    /// What its link carries, in megabits a second.
+    /// Bandwidth of its link, in megabits per second.
     pub link_megabits: f64,
 }
 
-/// A store of cached prompt work with the name by which prompts are shared out among the stores.
+/// A KV store with the name that rendezvous hashing uses to assign prompts to stores.
 #[derive(Debug, Clone, PartialEq)]
 struct NamedKvStore {
-    /// The text of its address, made once rather than for each request.
+    /// The text form of its address, built once rather than for each request.
     name: String,
     store: KvStore,
 }
 
-/// A service.
+/// A service of replicas, or of a KV store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Connections that one replica accepts from all callers together.
+    /// Maximum number of connections that one replica accepts from all clients together.
     pub max_connections: u32,
     /// Set for services of language models.
     pub engine: Option<EngineLimits>,
-    /// Set for stores of cached prompt work.
+    /// Set for KV stores.
     pub kv_store: Option<KvStore>,
 }
 
-/// What callers may send.
+/// Limits on the size of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's headers in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub max_body_bytes: usize,
 }
 
-/// A whole configuration; immutable once built.
+/// A complete configuration; immutable once built.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
-    /// Its version; newer ones are larger.
+    /// The configuration's version; newer versions are greater.
     pub version: u64,
     routes_by_host: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<String, Service>,
     longest_objectives: HashMap<String, Duration>,
     kv_stores: Vec<NamedKvStore>,
     tenants_by_key: Option<HashMap<String, Arc<Tenant>>>,
-    /// What callers may send.
+    /// Limits on the size of callers' requests.
     pub limits: CallerLimits,
     document: Bytes,
 }
 
 impl Configuration {
-    /// The longest time in which an answer of a service should begin, over the routes to it; nothing where none has one.
+    /// The longest objective of the routes to a service; `None` if no route to it has one.
     pub fn longest_objective(&self, service: &str) -> Option<Duration> {
         self.longest_objectives.get(service).copied()
     }
 
-    /// Puts a configuration together. Without `tenants` no request needs a key.
+    /// Builds a configuration. Without `tenants` no request needs a key.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -215,19 +214,19 @@
         }
     }
 
-    /// The same with the document that it was read from.
+    /// Sets the document from which the configuration was parsed.
     pub fn with_document(mut self, document: Bytes) -> Self {
         self.document = document;
         self
     }
 
-    /// The document that it was read from, which other daemons may need where the store has lost it; empty where it was not
-    /// read from any.
+    /// The document from which the configuration was parsed, which other gateways may need if the store has lost it; empty if it
+    /// was not parsed from one.
     pub fn document(&self) -> &[u8] {
         &self.document
     }
 
-    /// The route of the longest prefix that begins `path` at `host` (without a port).
+    /// The route of `host` (without a port) with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes_by_host.get(host)?;
         routes
@@ -245,7 +244,7 @@
         self.tenants_by_key.as_ref()?.get(key)
     }
 
-    /// The tenants that hold keys; one with several keys comes as often.
+    /// The tenants with keys; a tenant with several keys is repeated for each.
     pub fn tenants(&self) -> impl Iterator<Item = &Tenant> {
         let by_key = self.tenants_by_key.iter();
         by_key.flat_map(|by_key| by_key.values().map(Arc::as_ref))
@@ -256,8 +255,8 @@
         self.services.get(name)
     }
 
-    /// The store of cached prompt work that keeps the prompts with this placement digest: the same one for
-    /// every daemon, so that together the stores keep each prompt once.
+    /// The KV store for prompts with this placement digest, chosen by rendezvous hashing: all gateways choose the same one, so that
+    /// each prompt is stored only once.
     pub fn kv_store(&self, digest: u64) -> Option<&KvStore> {
         let rendezvous_score = |named: &&NamedKvStore| {
             let weight = xxh3_64_with_seed(named.name.as_bytes(), digest);
@@ -267,13 +266,13 @@
         named.map(|named| &named.store)
     }
 
-    /// Every store of cached prompt work.
+    /// All KV stores.
     pub fn kv_stores(&self) -> impl Iterator<Item = &KvStore> {
         self.kv_stores.iter().map(|named| &named.store)
     }
 }
 
-/// The stores of these services, in the order of the services' names.
+/// The KV stores of these services, in the order of the services' names.
 fn name_kv_stores(services: &HashMap<String, Service>) -> Vec<NamedKvStore> {
     let mut services: Vec<&Service> = services.values().collect();
     services.sort_by_key(|service| &service.name);
@@ -288,7 +287,7 @@
         .collect()
 }
 
-/// Routes by host, those with the longest prefix first.
+/// Groups routes by host, with the longest prefixes first.
 fn index_routes(routes: Vec<Route>) -> HashMap<String, Vec<Arc<Route>>> {
     let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
     for route in routes {
@@ -310,7 +309,7 @@
     by_key
 }
 
-/// The longest objective of the routes to each service that has any.
+/// The longest objective of the routes to each service; services without any are left out.
 fn longest_objectives(routes: &[Route]) -> HashMap<String, Duration> {
     let mut longest: HashMap<String, Duration> = HashMap::new();
     for route in routes.iter().filter(|route| !route.objective.is_zero()) {
--- a/crates/gateway/src/currency.rs
+++ b/crates/gateway/src/currency.rs
@@ -1,7 +1,7 @@
-//! Since when the configuration in force is known to be the newest.
+//! Tracks how current the configuration in force is: the latest time at which it is proved to be the newest.
 //!
-//! A read of the store that began at some moment proves that the configuration it returned was in force
-//! at that moment or later. Times are of the steady clock: the time of day may jump.
+//! A read of the store proves that the configuration it returned was the newest when the read started. Times are those of the
+//! monotonic clock, since the wall clock may jump.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -11,32 +11,33 @@
 
 use crate::store::StorePosition;
 
-/// A read that found a configuration to be the newest.
+/// A read of the store that proved a configuration to be the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Proof {
-    /// When it began.
+    /// When the read started.
     pub began: Instant,
-    /// The store's position that it told; none where another daemon told of the read and not of that.
+    /// The store's position that the read returned; `None` if another gateway reported the read without its position.
     pub position: Option<StorePosition>,
 }
 
-/// That another daemon holds a newer configuration.
+/// A newer configuration that another gateway has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NewerVersion {
-    /// Its version.
+    /// The configuration's version.
     pub version: u64,
-    /// The read that found it to be the newest.
+    /// The read that proved it to be the newest.
     pub proof: Proof,
 }
 
-/// What is proved of the configuration.
+/// The proofs of the configuration in force, and the versions that other gateways have.
 #[derive(Debug, Default)]
 pub struct Currency {
-    /// The highest version that this daemon, or another one, is known to hold.
+    /// The highest version that any gateway is known to have.
     highest: Cell<u64>,
-    /// The highest such version that a read did not bring which began when it was known: the store has lost it.
+    /// The highest version that the store is known to have lost: a read that started after the version was known returned an
+    /// older one.
     lost_version: Cell<u64>,
-    /// Whether other daemons were asked at the start which version they hold, and have answered or were silent for too long.
+    /// Whether the query at the start for the versions of other gateways is complete, by answers or by timeout.
     has_peer_answers: Cell<bool>,
     version_lost: Notify,
     peer_answers_arrived: Notify,
@@ -47,45 +48,45 @@
 }
 
 impl Currency {
-    /// Nothing is proved yet.
+    /// Creates a state without any proof.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in that some daemon holds this version.
+    /// Records that some gateway has this version.
     pub fn note_version(&self, version: u64) {
         self.highest.set(self.highest.get().max(version));
     }
 
-    /// The highest version that some daemon is known to hold.
+    /// The highest version that any gateway is known to have.
     pub fn highest(&self) -> u64 {
         self.highest.get()
     }
 
-    /// Takes in that the store, asked when `version` was known to be held by some daemon, has an older one.
+    /// Records that the store has lost `version`: a read that started when some gateway was known to have it returned an older one.
     pub fn note_lost_version(&self, version: u64) {
         self.lost_version.set(self.lost_version.get().max(version));
         self.version_lost.notify_one();
     }
 
-    /// Waits until the store was found to have lost a version.
+    /// Waits until the store is found to have lost a version.
     pub async fn version_lost(&self) {
         self.version_lost.notified().await;
     }
 
-    /// Takes in that what other daemons knew at the start is known.
+    /// Records that the query at the start for the versions of other gateways is complete.
     pub fn note_peer_answers(&self) {
         self.has_peer_answers.set(true);
         self.peer_answers_arrived.notify_waiters();
     }
 
-    /// Whether what other daemons knew at the start is known. Before, a proof by an own read says little: the store may be a
-    /// copy that lacks the newest configuration.
+    /// Whether the query at the start for the versions of other gateways is complete. Before that, a proof by an own read is weak:
+    /// the store may be a copy that lacks the newest configuration.
     pub fn has_peer_answers(&self) -> bool {
         self.has_peer_answers.get()
     }
 
-    /// Waits for that, up to `timeout`; whether it is so.
+    /// Waits up to `timeout` for the end of that query; returns whether it is complete.
     pub async fn until_peer_answers(&self, timeout: Duration) -> bool {
         if self.has_peer_answers() {
             return true;
@@ -94,14 +95,14 @@
         tokio::time::timeout(timeout, arrived).await.is_ok()
     }
 
-    /// Whether a daemon that holds `version` knows less than others do, which the store can't tell it: nobody may be served
-    /// by it whose key may have been taken away.
+    /// Whether a gateway with `version` lacks a newer one that the store has lost. It must not serve callers whose keys may have
+    /// been revoked.
     pub fn is_outdated(&self, version: u64) -> bool {
         version < self.lost_version.get()
     }
 
-    /// Takes in a read that returned no newer version than `version`, which is in force; false where that proves nothing:
-    /// another daemon holds a newer one, which a store that came back from a copy has lost.
+    /// Records a read that returned no newer version than `version`, the one in force. Returns false if that proves nothing because
+    /// another gateway has a newer version, which a store restored from a copy has lost.
     pub fn prove(&self, version: u64, proof: Proof) -> bool {
         if version < self.highest.get() {
             return false;
@@ -121,44 +122,44 @@
         }
     }
 
-    /// The newest proof.
+    /// The proof by the latest read.
     pub fn proof(&self) -> Option<Proof> {
         self.proof.get()
     }
 
-    /// How old the newest proof is.
+    /// The age of the newest proof.
     pub fn age(&self) -> Option<Duration> {
         self.proof().map(|proof| proof.began.elapsed())
     }
 
-    /// Whether there is a proof that is not older than `age`.
+    /// Whether there is a proof that is no older than `age`.
     pub fn is_within(&self, age: Duration) -> bool {
         self.age().is_some_and(|known| known <= age)
     }
 
-    /// Waits until somebody wants a new proof.
+    /// Waits until a new proof is requested.
     pub async fn proof_requested(&self) {
         self.proof_requested.notified().await;
     }
 
-    /// Asks for a proof.
+    /// Requests a new proof.
     pub fn request_proof(&self) {
         self.proof_requested.notify_one();
     }
 
-    /// Asks for a configuration that another daemon holds already.
+    /// Requests a configuration that another gateway already has.
     pub fn request_version(&self, newer: NewerVersion) {
         self.note_version(newer.version);
         self.newer.set(Some(newer));
         self.proof_requested.notify_one();
     }
 
-    /// The configuration that was asked for, once.
+    /// Takes the requested configuration, if any; each request is returned once.
     pub fn take_requested_version(&self) -> Option<NewerVersion> {
         self.newer.take()
     }
 
-    /// Asks for a proof that is not older than `age`, and waits for it up to `timeout`.
+    /// Requests a proof that is no older than `age` and waits for it up to `timeout`; returns whether there is one.
     pub async fn confirm(&self, age: Duration, timeout: Duration) -> bool {
         let confirmed = async {
             while !self.is_within(age) {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,25 +1,25 @@
-//! Routes opaque requests to replicas that an object store lists.
+//! Routes opaque requests to replicas that are listed in an object store.
 //!
-//! The gateway knows routes by host and path prefix, tenants by key, replicas by their entries in the
-//! store and prompts by the sizes and names of their parts. It never reads a body. How all of this is
-//! spelled on the wire is a [`protocol::Platform`], which lies outside of this crate.
+//! The gateway identifies routes by host and path prefix, tenants by key, replicas by their entries in the store, and prompts
+//! by the sizes and names of their parts. It never reads a request body. The wire formats are defined by a
+//! [`protocol::Platform`], which is implemented outside this crate.
 //!
-//! - [`cache`]: what stores of cached prompt work are known to keep.
+//! - [`cache`]: the known contents of the prompt caches in KV stores.
 //! - [`configuration`]: routes, services and tenants in force.
-//! - [`protocol`]: what a platform's adapter has to supply.
-//! - [`pipeline`]: the path of a request, one file per filter, the list in one place.
-//! - [`notices`]: what replicas say of themselves in their answers.
-//! - [`peers`]: what daemons tell each other.
+//! - [`protocol`]: the traits that a platform adapter implements.
+//! - [`pipeline`]: the processing of a request, one file per filter, with the list of filters in one place.
+//! - [`notices`]: notices that replicas give about themselves in their answers.
+//! - [`peers`]: messages between gateways.
 //! - [`permits`]: permits to send to replicas that limit their rate.
-//! - [`quarantine`]: requests that end the replicas that run them.
-//! - [`replicas`]: what is believed of each replica, and the choice of one.
+//! - [`quarantine`]: requests that crash the replicas that run them.
+//! - [`replicas`]: the known state of each replica, and the choice of one.
 //! - [`upstream`]: connections to replicas and to the store.
 //! - [`store`]: calls to the object store and the tasks that follow it.
-//! - [`rollout`]: new weights, ordered by one daemon at a time.
-//! - [`weights`]: the weights that the operator wants, and since when.
-//! - [`suspected_weights`]: weights that may have been named although nobody heard of it.
+//! - [`rollout`]: the loading of new weights, ordered by one gateway at a time.
+//! - [`weights`]: the versions of weights that the operator wants, and since when.
+//! - [`suspected_weights`]: versions that may have been named although no gateway has seen it.
 //! - [`server`]: sockets, readiness, start and stop.
-//! - [`standstill`]: how long this process has stood still.
+//! - [`standstill`]: detection of times in which this process was suspended.
 
 pub mod budget;
 pub mod cache;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a gateway counts, in Prometheus text format.
+//! The metrics of a gateway, exported in Prometheus text format.
 
 use std::fmt;
 use std::sync::Mutex;
@@ -12,88 +12,88 @@
 
 use crate::replicas::Begun;
 
-/// Under what something is counted that could not be read.
+/// The labels of the counter of invalid input.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RejectedLabels {
-    /// Its kind, see [`crate::store::Rejected`].
+    /// The source of the input, see [`crate::store::Rejected`].
     pub kind: String,
-    /// What is wrong with it, see [`crate::protocol::UnreadableReason`].
+    /// The category of the error, see [`crate::protocol::UnreadableReason`].
     pub reason: String,
 }
 
-/// The numbers of one gateway. Counting is one atomic addition.
+/// The metrics of one gateway. Incrementing a counter is one atomic addition.
 pub struct GatewayMetrics {
-    /// Requests that got a replica's whole answer.
+    /// Requests that received a replica's complete answer.
     pub answered: Counter,
-    /// Requests that got an answer of the gateway's own.
+    /// Requests that the gateway answered itself.
     pub refused: Counter,
-    /// Requests whose caller left first.
+    /// Requests whose caller disconnected before the end of the answer.
     pub abandoned: Counter,
-    /// Streams that were cut.
+    /// Streams that were aborted.
     pub cut: Counter,
     /// Requests sent to replicas.
     pub sent: Counter,
-    /// Requests sent again.
+    /// Requests that were sent again.
     pub repeated: Counter,
-    /// Streams that went on at another replica.
+    /// Streams that were resumed at another replica.
     pub moved: Counter,
     /// Calls to the store.
     pub store_calls: Counter,
-    /// From the arrival of a request to the head of its answer.
+    /// Time from the arrival of a request to the headers of its answer.
     pub time_to_answer: DurationHistogram,
-    /// From the arrival of a request to the end of its answer.
+    /// Time from the arrival of a request to the end of its answer.
     pub request_duration: DurationHistogram,
-    /// From the sending of a request to a replica to its begin there.
+    /// Time from the sending of a request to a replica to its start there.
     pub begin_wait: DurationHistogram,
-    /// How much longer than expected requests waited at replicas.
+    /// How much longer than expected requests were queued at replicas.
     pub begin_wait_excess: DurationHistogram,
-    /// How much shorter than expected requests waited at replicas.
+    /// How much shorter than expected requests were queued at replicas.
     pub begin_wait_shortfall: DurationHistogram,
-    /// For how long newer weights had been wanted when a request began on older ones.
+    /// How long newer weights had been wanted when a request started on older ones.
     pub outdated_begin: DurationHistogram,
-    /// Requests withdrawn from a replica, where they waited, since its weights became too old.
+    /// Requests withdrawn from the queue of a replica because its weights became too old.
     pub withdrawn: Counter,
-    /// Requests refused at once, since they would begin at no replica in the time of their callers.
+    /// Requests refused at once because no replica would start them within the time limit of their callers.
     pub overloaded: Counter,
-    /// Requests refused since every replica that could serve had asked for a pause.
+    /// Requests refused because every replica that could serve them had asked for a pause.
     pub paused: Counter,
-    /// Permits to send to a replica with a limit that this daemon got.
+    /// Permits granted to this gateway to send to a replica with a rate limit.
     pub permits_granted: Counter,
-    /// Permits that it did not get.
+    /// Permits denied to this gateway.
     pub permits_denied: Counter,
-    /// Questions for permits that nobody answered; they count as denied too.
+    /// Requests for permits that were not answered; they also count as denied.
     pub permits_unanswered: Counter,
-    /// Requests refused since they were beyond their tenants' limits.
+    /// Requests refused because they exceeded their tenants' quotas.
     pub over_quota: Counter,
-    /// Replicas kept in use for a while without an entry.
+    /// Replicas kept in use for a limited time without an entry.
     pub replicas_lapsed: Counter,
-    /// Entries of replicas that were gone before the store came back from a copy, and were not used again.
+    /// Entries of replicas that were gone before the store was restored from a copy, and were not used again.
     pub replicas_held_back: Counter,
-    /// Replicas that ended while requests of this gateway were open there.
+    /// Replicas that crashed or stopped while requests of this gateway were open there.
     pub replicas_ended: Counter,
-    /// Requests refused since they ended the replicas that ran them.
+    /// Requests refused because they crashed the replicas that ran them.
     pub quarantined: Counter,
-    /// What others said that could not be read, by kind and reason, each time.
+    /// Occurrences of invalid input from others, by kind and reason.
     pub rejected: Family<RejectedLabels, Counter>,
     /// The version of the configuration in force.
     pub configuration_version: Gauge,
-    /// 1 where no daemon that had run before has confirmed the configuration in force, which was read at the start; else 0.
+    /// 1 if the configuration in force was read at the start and no gateway that had run before has confirmed it, else 0.
     pub configuration_unconfirmed: Gauge,
-    /// Configurations taken from another daemon, since the store had lost them.
+    /// Configurations taken from another gateway because the store had lost them.
     pub configurations_handed_on: Counter,
-    /// Different requests that are quarantined.
+    /// Number of distinct requests that are quarantined.
     pub fingerprints_quarantined: Gauge,
-    /// The latest era of the store that is known; 0 where it names none.
+    /// The latest known era of the store; 0 if it names none.
     pub store_era: Gauge,
-    /// How often the store was found to have come back from a copy.
+    /// How often the store was found to have been restored from a copy.
     pub store_era_changes: Counter,
-    /// Replicas listed.
+    /// Number of listed replicas.
     pub replicas: Gauge,
-    /// Replicas that limit their rate, as of a second ago.
+    /// Number of replicas that limit their rate; updated every second.
     pub replicas_limited: Gauge,
-    /// Replicas that want no requests from this daemon for a while, as of a second ago.
+    /// Number of replicas that want no requests from this gateway for a while; updated every second.
     pub replicas_resting: Gauge,
-    /// Replicas that have said that they are leaving, as of a second ago.
+    /// Number of replicas that have announced that they are leaving; updated every second.
     pub replicas_leaving: Gauge,
     registry: Mutex<Registry>,
 }
@@ -323,7 +323,7 @@
         );
     }
 
-    /// Takes in how long a request waited at its replica, against what was expected.
+    /// Records how long a request was queued at its replica, compared with the expected time.
     pub fn note_begun(&self, begun: &Begun) {
         self.begin_wait.observe(begun.wait);
         match begun.wait.checked_sub(begun.expected) {
@@ -334,7 +334,7 @@
         }
     }
 
-    /// The page of all numbers.
+    /// Encodes all metrics in Prometheus text format.
     pub fn page(&self) -> String {
         let mut page = String::new();
         if let Ok(registry) = self.registry.lock() {
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -1,7 +1,7 @@
-//! What a platform's adapter has to supply: how requests, replicas and the store are spelled.
+//! The traits that a platform adapter implements: the wire formats of requests, replicas and the store.
 //!
-//! An adapter translates and decides nothing. Every call is built here as bytes of HTTP/1.1 and every
-//! answer is read from them, so that the rest of the gateway knows typed messages only.
+//! An adapter only translates between HTTP/1.1 messages and the types of this module; it makes no decisions. The rest of
+//! the gateway handles typed messages only.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -21,89 +21,89 @@
 /// One part of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its name; equal names are equal parts.
+    /// The part's name; parts with equal names are equal.
     pub id: String,
-    /// Its size.
+    /// The part's size in tokens.
     pub tokens: u32,
 }
 
-/// What a caller says of its prompt.
+/// A prompt as the caller describes it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model.
+    /// The model's name.
     pub model: String,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub input_tokens: u32,
-    /// Tokens of the answer at the most.
+    /// Maximum number of tokens in the answer.
     pub max_output_tokens: u32,
-    /// The parts of the prompt, in order; the last one belongs to the request or its session.
+    /// The parts of the prompt, in order; the last one is specific to the request or its session.
     pub parts: Vec<PromptPart>,
-    /// The caller's guess at the length of the answer, in tokens.
+    /// The caller's estimate of the length of the answer, in tokens.
     pub length_hint: Option<u32>,
 }
 
-/// What the head of a request says.
+/// The metadata in the headers of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestMeta {
     /// The request's id.
     pub id: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub deadline: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// The prompt, where there is one.
+    /// The prompt, if the request has one.
     pub prompt: Option<Prompt>,
-    /// The event after which the stream goes on.
+    /// The id of the last event received; the stream resumes after it.
     pub last_event_id: Option<String>,
 }
 
-/// What a replica is told beside the caller's own head.
+/// The metadata that is sent to a replica in addition to the caller's own headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Dispatch {
     /// The id of the only replica that may run the request.
     pub replica: String,
-    /// How long the replica may work.
+    /// The time limit for the replica's work.
     pub deadline: Duration,
-    /// The tenant.
+    /// The tenant's name.
     pub tenant: Option<String>,
-    /// The rank among the replica's requests; 0 goes first.
+    /// The priority among the replica's requests; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// The only version of the weights that may run the request.
+    /// The only version of the weights that may process the request.
     pub weights_version: Option<u64>,
-    /// The name under which cached prompt work is kept and found.
+    /// The namespace of the prompt cache in which entries for this request are stored and looked up.
     pub cache_scope: Option<String>,
-    /// Where to take cached prompt work from.
+    /// The address from which to fetch cached prompt data.
     pub fetch_from: Option<SocketAddr>,
-    /// Where to copy cached prompt work to.
+    /// The address to which to copy cached prompt data.
     pub save_to: Option<SocketAddr>,
-    /// The event after which the stream goes on.
+    /// The id of the last event received; the stream resumes after it.
     pub last_event_id: Option<String>,
 }
 
-/// How many requests a second a replica takes from all daemons together.
+/// The number of requests per second that a replica accepts from all gateways together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestRate {
     thousandths: u64,
 }
 
 impl RequestRate {
-    /// The rate of so many requests a second; none where that is no rate.
+    /// Converts from requests per second; `None` if the number is negative or not finite.
     pub fn from_per_second(per_second: f64) -> Option<Self> {
         let is_rate = per_second.is_finite() && per_second >= 0.0;
         is_rate.then(|| Self::from_thousandths((per_second * 1000.0).round() as u64))
     }
 
-    /// The rate of so many thousandths of a request a second.
+    /// Converts from thousandths of a request per second.
     pub fn from_thousandths(thousandths: u64) -> Self {
         Self { thousandths }
     }
 
-    /// Thousandths of a request a second.
+    /// The rate in thousandths of a request per second.
     pub fn thousandths(self) -> u64 {
         self.thousandths
     }
 
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.thousandths as f64 / 1000.0
     }
@@ -115,63 +115,63 @@
     }
 }
 
-/// A field of a head that may be missing or hold anything.
+/// An optional header field that the peer may have filled with an invalid value.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum HeaderField<T> {
-    /// It is not there.
+    /// The field is absent.
     #[default]
     Absent,
-    /// It holds this.
+    /// The field holds this value.
     Value(T),
-    /// It holds nothing that can be read, for this cause.
+    /// The field can't be parsed, for this reason.
     Unreadable(String),
 }
 
-/// What the head of a replica's answer says.
+/// The metadata in the headers of a replica's answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerMeta {
-    /// The request that it answers.
+    /// The id of the request that it answers.
     pub request_id: Option<String>,
-    /// Whether the replica says that it has not run the request and never will.
+    /// Whether the replica states that it has not run the request and never will.
     pub is_not_run: bool,
-    /// Whether the replica says that another one lives at its address, or has other weights.
+    /// Whether the replica states that it is not the addressed instance, or that it has other weights than requested.
     pub is_misdirected: bool,
-    /// The version of its weights.
+    /// The version of the weights.
     pub weights_version: Option<u64>,
-    /// The id of the replica that answered, where it says so.
+    /// The id of the replica that answered, if the answer states it.
     pub replica: Option<String>,
-    /// Whether the head names the replica's signature.
+    /// Whether the headers carry the replica's signature.
     pub is_signed: bool,
-    /// The rate that the replica takes from all daemons together, for as long as its answers say so.
+    /// The rate that the replica accepts from all gateways together; it holds for as long as its answers state it.
     pub request_limit: HeaderField<RequestRate>,
-    /// Whether the replica is leaving.
+    /// Whether the replica is draining before it stops.
     pub is_leaving: HeaderField<bool>,
-    /// For how long the replica wants no requests from this daemon.
+    /// For how long the replica wants no requests from this gateway.
     pub rest: HeaderField<Duration>,
 }
 
-/// How requests and answers are spelled.
+/// The wire format of requests and answers.
 pub trait RequestProtocol {
-    /// Reads the head of a caller's request.
+    /// Parses the headers of a caller's request.
     ///
     /// # Errors
     ///
-    /// Says which field can't be read.
+    /// Names the field that can't be parsed.
     fn read_request(&self, headers: &HeaderMap) -> Result<RequestMeta, String>;
-    /// Whether a header of a caller is passed on.
+    /// Whether a header of the caller is forwarded to the replica.
     fn passes_to_replica(&self, name: &HeaderName) -> bool;
-    /// Adds the headers of `dispatch`.
+    /// Adds the headers for `dispatch`.
     fn write_dispatch(&self, dispatch: &Dispatch, headers: &mut HeaderMap);
-    /// Reads the head of a replica's answer.
+    /// Parses the headers of a replica's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMeta;
-    /// The header that carries the request's id in answers.
+    /// The name of the header that carries the request's id in answers.
     fn request_id_header(&self) -> HeaderName;
 }
 
-/// One call over HTTP/1.1.
+/// An HTTP/1.1 request to the store, a replica or a prompt cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
@@ -179,89 +179,89 @@
     pub body: Bytes,
     /// The media type of the body.
     pub content_type: Option<&'static str>,
-    /// Further headers.
+    /// Additional headers.
     pub headers: HeaderMap,
 }
 
-/// The kinds of objects that the gateway follows.
+/// The kinds of store objects that the gateway watches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ObjectKind {
     /// The operator's configuration.
     Configuration,
-    /// The entries of replicas.
+    /// The registration entries of replicas.
     Replicas,
-    /// The wanted versions of weights.
+    /// The versions of weights that the operator wants.
     Weights,
-    /// Leases of daemons.
+    /// Leases held by gateways.
     Leases,
-    /// The daemons themselves.
+    /// The entries of gateways, which list where each listens for the others.
     Daemons,
-    /// Requests that end the replicas that run them.
+    /// Requests that crash the replicas that run them.
     Quarantine,
 }
 
-/// How recent an answer of the store must be.
+/// How recent the data in an answer of the store must be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// As of the call or later.
+    /// As of the time of the call or later.
     Newest,
-    /// It may be seconds old; costs the store a tenth.
+    /// The data may be seconds old; such a read costs the store a tenth of a `Newest` read.
     Recent,
 }
 
-/// The weights of one model at a replica.
+/// A version of the weights of one model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelVersion {
-    /// The model.
+    /// The model's name.
     pub model: String,
-    /// The version of its weights.
+    /// The version of the weights.
     pub version: u64,
 }
 
-/// One life of a replica. A replica that starts again may keep its id; it holds and knows nothing of before.
+/// One incarnation of a replica. A replica that restarts may keep its id, but has lost all its state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ReplicaIncarnation {
     /// The replica's id.
     pub id: String,
-    /// When the life began, in milliseconds of Unix time by the replica's clock; none where replicas don't say. Only
-    /// compared with that of another life of the same id, never with a clock.
+    /// When the incarnation started, in milliseconds of Unix time by the replica's clock; `None` if replicas don't state it.
+    /// It is only compared with that of another incarnation of the same id, never with a clock.
     pub born: Option<u64>,
 }
 
 impl ReplicaIncarnation {
-    /// Whether `other`, of the same id, began later.
+    /// Whether `other` has the same id and started later.
     pub fn is_before(&self, other: &Self) -> bool {
         self.id == other.id && self.born < other.born
     }
 
-    /// A digest that no other life has.
+    /// A digest that identifies the incarnation.
     pub fn digest(&self) -> u64 {
         xxh3_64_with_seed(self.id.as_bytes(), self.born.unwrap_or(0))
     }
 }
 
-/// A replica as the store lists it.
+/// A replica's registration entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaEntry {
     /// The incarnation that wrote the entry.
     pub incarnation: ReplicaIncarnation,
-    /// Its service.
+    /// The service that the replica belongs to.
     pub service: String,
-    /// Its address.
+    /// The replica's address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The replica's zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is draining before it stops.
     pub is_draining: bool,
-    /// How much longer it stays slow after its start.
+    /// The remaining warm-up time, during which the replica is slow.
     pub cold_remaining: Duration,
-    /// Its weights.
+    /// The weights that the replica has loaded.
     pub models: Vec<ModelVersion>,
 }
 
-/// The content of an object.
+/// The content of a store object.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ObjectContent {
     /// See [`ObjectKind::Configuration`].
@@ -278,36 +278,37 @@
     Quarantine(QuarantineRecord),
 }
 
-/// An object as the store keeps it.
+/// An object in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredObject {
-    /// Its name; empty where it can't be read.
+    /// The object's name; empty if it can't be parsed.
     pub name: String,
-    /// Where it was last changed.
+    /// The store's position at the object's last change.
     pub position: StorePosition,
-    /// Its content, or why it has none: anybody may write to the store.
+    /// The content, or why it can't be parsed: the store also accepts writes by others.
     pub content: Result<ObjectContent, Unreadable>,
 }
 
-/// Why an object can't be read. It costs nothing but that object: a replica's entry names no replica to use, a
-/// configuration, a version of weights or a record leaves what was known in force, and a lease counts as held by another.
+/// Why an object can't be parsed. Only that object is affected: an invalid replica entry is not used; for an invalid
+/// configuration, version of weights or record, the previously known one stays in force; an invalid lease counts as held by
+/// another gateway.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}: {detail}")]
 pub struct Unreadable {
-    /// What is wrong, in short.
+    /// The category of the error.
     pub reason: UnreadableReason,
-    /// The same in words.
+    /// A description of the error.
     pub detail: String,
 }
 
-/// What is wrong with an object.
+/// The category of a parse error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum UnreadableReason {
-    /// Its bytes are no text.
+    /// The bytes are not valid text.
     Bytes,
-    /// Its text is no document.
+    /// The text is not a well-formed document.
     Syntax,
-    /// A field is missing or of another type, or has a value that is not known.
+    /// A field is missing, has the wrong type or has an unknown value.
     Fields,
 }
 
@@ -324,200 +325,200 @@
 /// One page of a list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListPage {
-    /// The objects.
+    /// The objects of the page.
     pub items: Vec<StoredObject>,
-    /// Whether more follow after the last of them.
+    /// Whether further pages follow.
     pub has_more: bool,
-    /// How far the store has come.
+    /// The store's position when it answered.
     pub position: StorePosition,
 }
 
 /// A change of one object.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObjectEvent {
-    /// The object after the change, or before it went.
+    /// The object after the change, or before its deletion.
     pub object: StoredObject,
-    /// Whether it is gone.
+    /// Whether the object was deleted.
     pub is_deleted: bool,
 }
 
-/// The answer of a watch.
+/// The answer to a watch call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WatchPage {
-    /// The changes, in order.
+    /// The changes, in order of occurrence.
     pub events: Vec<ObjectEvent>,
-    /// Where to go on.
+    /// The position from which to continue.
     pub position: StorePosition,
 }
 
-/// What became of a conditional write.
+/// The outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteAnswer {
-    /// It took effect there.
+    /// The write took effect at this position.
     Accepted(StorePosition),
-    /// It had no effect: the object is another one by now, if it can be read.
+    /// The write had no effect because the object has changed; carries the current object if it can be parsed.
     Conflict(Option<StoredObject>),
-    /// It had no effect for now: the store is busy or throttles.
+    /// The write had no effect because the store is busy or throttles calls; it may be retried.
     Busy,
-    /// Nothing is known.
+    /// It is unknown whether the write took effect.
     Unknown,
 }
 
-/// How the store is spelled.
+/// The wire format of the store.
 pub trait StoreProtocol {
-    /// Lists objects after a name.
+    /// Lists the objects whose names follow `after`.
     fn list(&self, kind: ObjectKind, after: Option<&str>, freshness: Freshness) -> Call;
-    /// Waits for changes after `revision`, for `wait` at the most.
+    /// Waits up to `wait` for changes after `revision`.
     fn watch(&self, kind: ObjectKind, revision: u64, wait: Duration) -> Call;
-    /// Writes an object that must have `expected` as its revision; none means that it must not exist.
+    /// Writes an object if its revision is `expected`; `None` means that it must not exist.
     fn write(&self, name: &str, content: &ObjectContent, expected: Option<u64>) -> Call;
-    /// Removes an object that must have `expected` as its revision.
+    /// Deletes an object if its revision is `expected`.
     fn remove(&self, kind: ObjectKind, name: &str, expected: u64) -> Call;
-    /// Reads which era an answer names.
+    /// Reads the era from the headers of an answer.
     fn read_era(&self, headers: &HeaderMap) -> AnswerEra;
-    /// Reads one page of a list. Its positions, and all that are read below, name no era.
+    /// Parses one page of a list. Its positions, like those of the other answers parsed below, carry no era.
     ///
     /// # Errors
     ///
-    /// Says what can't be read.
+    /// Describes what can't be parsed.
     fn read_list(&self, kind: ObjectKind, body: &[u8]) -> Result<ListPage, String>;
-    /// Reads the answer of a watch.
+    /// Parses the answer to a watch call.
     ///
     /// # Errors
     ///
-    /// Says what can't be read.
+    /// Describes what can't be parsed.
     fn read_watch(&self, kind: ObjectKind, body: &[u8]) -> Result<WatchPage, String>;
-    /// Reads the document of a configuration, see [`Configuration::document`], by the same rules as one that the store lists.
+    /// Parses a configuration document, see [`Configuration::document`], by the same rules as one that the store lists.
     ///
     /// # Errors
     ///
-    /// Says what can't be read.
+    /// Describes what can't be parsed.
     fn read_configuration(&self, document: &[u8]) -> Result<Configuration, Unreadable>;
-    /// Reads the answer to a write.
+    /// Parses the answer to a write.
     fn read_write(&self, kind: ObjectKind, status: StatusCode, body: &[u8]) -> WriteAnswer;
 }
 
 /// How a replica changes its weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadMethod {
-    /// Open requests end first.
+    /// Open requests finish first.
     Wait,
-    /// Open streams are cut.
+    /// Open streams are aborted.
     Truncate,
-    /// Open streams go on with the new weights.
+    /// Open streams continue with the new weights.
     Retain,
 }
 
-/// An order to load weights.
+/// An order to a replica to load weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightsOrder {
-    /// The id of the replica that may take it.
+    /// The id of the only replica that may accept the order.
     pub replica: String,
-    /// The weights.
+    /// The weights to load.
     pub weights: ModelVersion,
-    /// How.
+    /// How open requests are treated.
     pub method: LoadMethod,
-    /// The daemon that gives it.
+    /// The gateway that gives the order.
     pub holder: String,
-    /// The token of its lease.
+    /// The fencing token of its lease.
     pub token: u64,
-    /// The number of orders that the replica must have taken before.
+    /// The number of orders that the replica must have accepted before.
     pub expected_sequence: Option<u64>,
 }
 
-/// What a replica said to an order.
+/// A replica's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is under way.
+    /// The replica has started to load the weights.
     Accepted,
-    /// The replica has the weights.
+    /// The replica already has the weights.
     Holds,
-    /// Another order is under way, or came before.
+    /// Another order is in progress, or was accepted before this one.
     Conflict,
-    /// A later holder has given orders.
+    /// A holder with a higher fencing token has given orders.
     Fenced,
-    /// Another replica has the address.
+    /// The address belongs to another replica.
     Misdirected,
-    /// It takes no such order: the version was not named.
+    /// The replica rejects the order because the operator has not named this version.
     NotNamed,
-    /// It refused for another reason.
+    /// The replica refused for another reason.
     Refused,
 }
 
-/// A replica as it describes itself, some hundred milliseconds late.
+/// A replica's status report, which may be some hundred milliseconds old.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaReport {
-    /// When the life began that answers, where it says so, see [`ReplicaIncarnation::born`].
+    /// When the reporting incarnation started, if the report states it, see [`ReplicaIncarnation::born`].
     pub born: Option<u64>,
-    /// Its weights.
+    /// The weights that the replica has loaded.
     pub models: Vec<ModelVersion>,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub is_busy: bool,
-    /// Orders that it has taken.
+    /// The number of orders that the replica has accepted.
     pub order_sequence: u64,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub queued: u32,
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
 }
 
-/// A change of what a replica or a store of cached prompt work keeps.
+/// A change in the prompt cache of a replica or of a KV store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// The name under which it is kept.
+    /// The cache namespace.
     pub scope: String,
-    /// The part.
+    /// The name of the prompt part.
     pub part: String,
-    /// Tokens of it that are kept now.
+    /// The number of its tokens that are cached now.
     pub tokens: u32,
 }
 
-/// An answer about what is kept.
+/// A page of cache changes, or the complete content of a cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CachePage {
-    /// Differs from one life of the peer to the next.
+    /// Differs between incarnations of the peer.
     pub epoch: u64,
-    /// Where to go on.
+    /// The position from which to continue.
     pub next: u64,
-    /// Whether events before these are lost.
+    /// Whether earlier events have been lost.
     pub has_gap: bool,
-    /// The changes, in order; or all that is kept.
+    /// The changes, in order, or all cached parts.
     pub events: Vec<CacheEvent>,
 }
 
-/// How replicas are spoken to beside requests.
+/// The wire format of calls to replicas other than callers' requests.
 pub trait ReplicaProtocol {
-    /// Gives an order.
+    /// Gives an order to load weights.
     fn order(&self, order: &WeightsOrder) -> Call;
-    /// Reads the answer to an order.
+    /// Parses the answer to an order.
     fn read_order(&self, status: StatusCode) -> OrderAnswer;
-    /// Asks a replica to describe itself.
+    /// Requests a status report.
     fn report(&self) -> Call;
-    /// Waits for changes of what is kept after `since`, for `wait` at the most.
+    /// Waits up to `wait` for cache changes after `since`.
     fn cache_events(&self, since: u64, wait: Duration) -> Call;
-    /// Reads the answer to [`ReplicaProtocol::cache_events`].
+    /// Parses the answer to [`ReplicaProtocol::cache_events`].
     ///
     /// # Errors
     ///
-    /// Says what can't be read.
+    /// Describes what can't be parsed.
     fn read_cache_events(&self, body: &[u8]) -> Result<CachePage, String>;
-    /// Lists all that is kept.
+    /// Lists the complete content of the cache.
     fn cache_list(&self) -> Call;
-    /// Reads the answer to [`ReplicaProtocol::cache_list`].
+    /// Parses the answer to [`ReplicaProtocol::cache_list`].
     ///
     /// # Errors
     ///
-    /// Says what can't be read.
+    /// Describes what can't be parsed.
     fn read_cache_list(&self, body: &[u8]) -> Result<CachePage, String>;
-    /// Reads a replica's description.
+    /// Parses a replica's status report.
     ///
     /// # Errors
     ///
-    /// Says what can't be read.
+    /// Describes what can't be parsed.
     fn read_report(&self, body: &[u8]) -> Result<ReplicaReport, String>;
 }
 
-/// Everything that an adapter supplies.
+/// All wire formats that a platform adapter supplies.
 pub trait Platform: RequestProtocol + StoreProtocol + ReplicaProtocol + Send + Sync {}
 
 impl<T: RequestProtocol + StoreProtocol + ReplicaProtocol + Send + Sync> Platform for T {}
--- a/crates/gateway/src/protocol/own_records.rs
+++ b/crates/gateway/src/protocol/own_records.rs
@@ -1,50 +1,50 @@
-//! What gateways keep in the store for themselves.
+//! The records that gateways keep in the store for their own use.
 
 use std::net::SocketAddr;
 
 use crate::store::StoreEra;
 
-/// The lease of a task that one daemon does at a time.
+/// The lease of a task that one gateway performs at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseRecord {
-    /// The machine that holds it; empty where it was given back.
+    /// The machine that holds the lease; empty after the lease was released.
     pub holder: String,
-    /// The life of the daemon on it.
+    /// The incarnation of the gateway on that machine.
     pub incarnation: u64,
-    /// The fencing token, which rises with each acquisition.
+    /// The fencing token, which increases with each acquisition.
     pub token: u64,
-    /// Rises with each renewal.
+    /// Increases with each renewal.
     pub renewal: u64,
-    /// The era of the store that its writer knew; unnamed where that was a daemon of an earlier version.
+    /// The store's era as known to the writer; unnamed if the writer is a gateway of an earlier version.
     pub era: StoreEra,
 }
 
-/// Where a daemon listens for others.
+/// The address at which a gateway listens for other gateways.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DaemonRecord {
-    /// The daemon's name.
+    /// The gateway's name.
     pub name: String,
-    /// Its address for other daemons.
+    /// Its address for messages from other gateways.
     pub peers: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// What its machine can carry, see [`crate::peers::message::WireDaemon::capacity`].
+    /// The capacity of its machine, see [`crate::peers::message::WireDaemon::capacity`].
     pub capacity: u32,
 }
 
-/// A request that ended replicas; its object is named by its fingerprint.
+/// A request that crashed replicas; its object is named by the request's fingerprint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineRecord {
-    /// How often it was cleared before.
+    /// How often the request was cleared before.
     pub generation: u32,
-    /// Digests of the ids of the replicas' lives that ended, in the order of time.
+    /// Digests of the replica incarnations that ended, in order of time.
     pub replicas: Vec<u64>,
-    /// Whether it is quarantined.
+    /// Whether the request is quarantined.
     pub is_quarantined: bool,
-    /// How often it was tried in quarantine.
+    /// How often the request was tried while in quarantine.
     pub trials: u32,
-    /// Answers to it that came whole since its first end, in all generations.
+    /// The number of complete answers to the request since it first crashed a replica, over all generations.
     pub good_ends: u32,
-    /// How often it was tried apart from those that were open at the same ends.
+    /// How often the request was tried in isolation from the other requests that were open when the replicas ended.
     pub apart_trials: u32,
 }
--- a/crates/gateway/src/store/client.rs
+++ b/crates/gateway/src/store/client.rs
@@ -16,38 +16,39 @@
 use crate::state::GatewayState;
 use crate::upstream::{self, CallAnswer, CallError};
 
-/// How long a call may take. The store may be slow: an answer in this time is worth waiting for.
+/// Timeout of a call. The store may be slow, so an answer is awaited for this long.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How much longer than asked for the answer of a watch may take.
+/// Time allowed for the answer to a watch in addition to the requested wait.
 const WATCH_MARGIN: Duration = Duration::from_millis(1500);
 
-/// Why a call to the store brought nothing.
+/// Why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// No whole answer came.
+    /// No complete answer arrived.
     #[error(transparent)]
     Call(#[from] upstream::CallError),
-    /// The store refused.
+    /// The store answered with an error status.
     #[error("the store answered {0}")]
     Status(StatusCode),
-    /// The history that a watch would go on from is gone.
-    #[error("the history is gone")]
+    /// The store no longer has the changes from which the watch would continue.
+    #[error("the store no longer has the changes after the watched revision")]
     HistoryGone,
-    /// The answer is of an earlier era than is known.
-    #[error("the store answered in an earlier era")]
+    /// The answer is of an earlier era than the known one.
+    #[error("the store answered in an earlier era than the known one")]
     StaleEra,
-    /// The answer names a later era that is not confirmed yet, or the era has changed since what it goes on from.
+    /// The answer names a later era that is not confirmed yet, or the era has changed since the position from which the call
+    /// continues.
     #[error("the store has changed its era")]
     EraChanged,
-    /// The answer can't be read.
-    #[error("unreadable answer: {0}")]
+    /// The answer can't be parsed.
+    #[error("invalid answer: {0}")]
     Unreadable(String),
 }
 
 impl StoreError {
-    /// Whether it shows that the store, or the way to it, is in trouble: not where it refuses calls beyond its rate,
-    /// or has answered.
+    /// Whether the error shows that the store or the network path to it fails. Throttling and complete answers that can't be
+    /// used don't show that.
     fn is_store_failure(&self) -> bool {
         match self {
             Self::Call(_) => true,
@@ -57,15 +58,15 @@
     }
 }
 
-/// How often a reading call is made that the change of the store's era ended, or whose answer does not count because of the
-/// era that it names: the second answer confirms a later era, and a call that a change ended is made on a new connection.
+/// Maximum number of attempts of a read that is aborted by a change of the store's era, or whose answer is rejected because
+/// of its era. The second answer confirms a later era; a read aborted by a change is repeated on a new connection.
 const MAX_ERA_ATTEMPTS: u32 = 2;
 
-/// Every object of a kind, with the position of the store that a watch can go on from.
+/// Lists all objects of a kind; also returns the store position from which a watch can continue.
 ///
 /// # Errors
 ///
-/// The store did not answer, refused, or its answer can't be read.
+/// The store did not answer, refused the call, or its answer can't be parsed.
 pub async fn list_all(
     state: &GatewayState,
     kind: ObjectKind,
@@ -73,11 +74,11 @@
     list_with_freshness(state, kind, Freshness::Newest).await
 }
 
-/// Every object of a kind, as it was up to some seconds ago.
+/// Lists all objects of a kind from data that may be some seconds old.
 ///
 /// # Errors
 ///
-/// As of [`list_all`].
+/// As for [`list_all`].
 pub async fn list_recent(
     state: &GatewayState,
     kind: ObjectKind,
@@ -107,13 +108,13 @@
             .read_list(kind, &body)
             .map_err(StoreError::Unreadable)?
             .in_era(era);
-        // The revision of an old answer says nothing of how far the store had come when it was given.
+        // The revision of data that may be old says nothing about the store's position at the time of the answer.
         if freshness == Freshness::Newest {
             record_position(state, page.position);
             let mut progress = state.store_progress.borrow_mut();
             progress.note(began, page.position);
         }
-        // A watch goes on from the first page: what changed since is told again.
+        // A watch continues from the position of the first page, so it reports everything that has changed since.
         let position = *first_position.get_or_insert(page.position);
         if position.era != era {
             return Err(StoreError::EraChanged);
@@ -126,17 +127,17 @@
     }
 }
 
-/// The name after which the next page of a list begins.
+/// The name after which the next page of a list starts.
 pub(super) fn last_name(objects: &[StoredObject]) -> Option<&str> {
     let names = objects.iter().rev().map(|object| object.name.as_str());
     names.into_iter().find(|name| !name.is_empty())
 }
 
-/// The changes after `position`; waits for the first one, up to `wait`.
+/// Returns the changes after `position`; waits up to `wait` for the first one.
 ///
 /// # Errors
 ///
-/// The store did not answer, refused, has changed its era, or its answer can't be read.
+/// The store did not answer, refused the call, has changed its era, or its answer can't be parsed.
 pub async fn watch(
     state: &GatewayState,
     kind: ObjectKind,
@@ -166,7 +167,7 @@
     Ok(page)
 }
 
-/// Remembers when the store had reached a position.
+/// Records the store's position and that it was reached by now.
 fn record_position(state: &GatewayState, position: StorePosition) {
     let mut lease = state.lease.borrow_mut();
     lease.on_store_position(state.now(), position);
@@ -183,10 +184,10 @@
     state.store_position.set(before.max(position));
 }
 
-/// Writes an object on condition of its position; none means that it must not exist.
+/// Writes an object if its position is `expected`; `None` means that it must not exist.
 ///
-/// Nothing is known of a write that was answered after the store had changed its era: the revision of its condition may be
-/// that of another change there.
+/// The outcome of a write that is answered after a change of the store's era is unknown: in the new era the revision of the
+/// condition may belong to another change.
 pub async fn write(
     state: &GatewayState,
     kind: ObjectKind,
@@ -195,7 +196,7 @@
     expected: Option<StorePosition>,
 ) -> WriteAnswer {
     if is_of_other_era(state, expected) {
-        log::debug!("{name} is not written on condition of {expected:?}, which is of another era");
+        log::debug!("write of {name} skipped: expected position {expected:?} is of another era");
         return WriteAnswer::Busy;
     }
     let expected = expected.map(|expected| expected.revision);
@@ -216,7 +217,8 @@
     }
 }
 
-/// Removes an object on condition of its position; true where it is not there any more, or is another one by now.
+/// Deletes an object if its position is `expected`. Returns true if that version of the object no longer exists, also when it
+/// was deleted or replaced before.
 pub async fn remove(
     state: &GatewayState,
     kind: ObjectKind,
@@ -224,7 +226,7 @@
     expected: StorePosition,
 ) -> bool {
     if is_of_other_era(state, Some(expected)) {
-        log::debug!("{name} is not removed at {expected}, which is of another era");
+        log::debug!("delete of {name} skipped: expected position {expected} is of another era");
         return true;
     }
     let call = state.platform.remove(kind, name, expected.revision);
@@ -233,19 +235,19 @@
             status.is_success() || matches!(status, StatusCode::NOT_FOUND | StatusCode::CONFLICT)
         }
         Err(error) => {
-            log::debug!("removing {name} failed: {error}");
+            log::debug!("delete of {name} failed: {error}");
             false
         }
     }
 }
 
-/// Whether a condition is of another era than the store is in, where the same revision is that of another change.
+/// Whether a condition is of another era than the store's current one, in which the same revision belongs to another change.
 fn is_of_other_era(state: &GatewayState, expected: Option<StorePosition>) -> bool {
     expected.is_some_and(|expected| expected.era != state.store_eras.known())
 }
 
-/// Makes a reading call, and makes it anew where the store has changed its era meanwhile: the answer, or the connection,
-/// may be that of the copy before.
+/// Performs a read, and repeats it if the store's era changes meanwhile: the answer or the connection may belong to the
+/// previous copy of the store.
 async fn get(
     state: &GatewayState,
     call: &Call,
@@ -259,13 +261,13 @@
             result = get_once(state, call, timeout) => result,
             () = state.store_eras.changed_after(changes) => Err(StoreError::EraChanged),
         };
-        // The changes themselves are bounded.
+        // An attempt during which the era changed is not counted: the number of era changes is limited by itself.
         if state.store_eras.changes() == changes {
             attempts += 1;
         }
         let should_retry = match result {
             Err(StoreError::EraChanged) => true,
-            // A store that goes on to name an earlier era is asked no more often than one that is down.
+            // A store that keeps naming an earlier era is called no more often than one that is down.
             Err(StoreError::StaleEra) => !state.store_outage.is_active(),
             _ => false,
         };
@@ -275,7 +277,7 @@
     }
 }
 
-/// Makes a reading call, and remembers when it failed.
+/// Performs a read once, and records a failure for the detection of outages.
 async fn get_once(
     state: &GatewayState,
     call: &Call,
@@ -302,7 +304,7 @@
     }
 }
 
-/// Makes a call; its answer with its era.
+/// Makes a call; returns its answer with the era of the answer.
 async fn send(
     state: &GatewayState,
     call: &Call,
--- a/crates/gateway/src/store/configuration_reader.rs
+++ b/crates/gateway/src/store/configuration_reader.rs
@@ -1,6 +1,7 @@
-//! Proves again and again that the configuration in force is the newest, by reading it.
+//! Reads the configuration periodically to prove that the one in force is the newest.
 //!
-//! A watch tells of changes at once, but its silence proves nothing: it may be cut, deaf or slow.
+//! A watch reports changes at once, but the absence of reports proves nothing: its connection may be broken, or its answer
+//! lost or delayed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,40 +17,41 @@
 use crate::protocol::ObjectKind;
 use crate::state::GatewayState;
 
-/// The time between two reads of a daemon that reads for others. They tell how recent its view is; others leave it
-/// where that is older than 1.4 s, so that they hear in time of replicas that leave while it is cut off.
+/// Interval between the reads of a gateway that reads the store for others. The reads show how recent its view is; the others
+/// stop relying on a view that is older than 1.4 s, so that they learn in time of replicas that leave while the reader is cut
+/// off.
 const READ_INTERVAL: Duration = Duration::from_millis(900);
 
-/// For how long after the store was last known to be down for all it is taken for down: as long as a reader remembers
-/// that others know nothing recent either.
+/// How long the store counts as down for all gateways after it was last known to be so: as long as a reader remembers that the
+/// others have no recent view either.
 const STORE_DOWN_RETENTION: Duration = Duration::from_secs(4);
 
-/// The shortest time between two looks for a store that is down for all, by a daemon that leaves the proof to others. It
-/// may keep replicas whose entries lapse in the outage only for a while after a look that failed (`contact_seconds` less
-/// 0.2 s): with 4 s that is two seconds from the store's return on, in which entries come back.
+/// Minimum interval between the probes of a store that is down for all, by a gateway that leaves the proof to others. Replicas
+/// whose entries lapse during the outage may be retained only for `contact_seconds` less 0.2 s after a failed probe: with 4 s
+/// that leaves two seconds after the store's return for entries to come back.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1800);
 
-/// How often a read that may be seconds old is tried for a configuration that another daemon has_version.
+/// Maximum number of reads of possibly old data for a configuration that another gateway already has.
 const MAX_RECENT_READS: u32 = 2;
 
-/// The pause before each such read, as a part of the time within which a configuration must be in force everywhere
-/// (`configuration_lag_seconds`): with two reads a tenth of that time in all.
+/// Delay before each such read, as a share of the time within which a configuration must be in force everywhere
+/// (`configuration_lag_seconds`): two reads delay it by a tenth of that time in total.
 const RECENT_READ_DELAY_RATIO: f64 = 0.05;
 
-/// The pause after a read that proved nothing, since another daemon has_version a newer configuration than the store.
+/// Delay after a read that proves nothing because another gateway has a newer configuration than the store.
 const UNPROVEN_READ_DELAY: Duration = Duration::from_millis(200);
 
-/// The pause after the source was asked for a proof, in which its answer comes.
+/// Delay after asking the source gateway for a proof, in which its answer arrives.
 const PROOF_REPLY_DELAY: Duration = Duration::from_millis(100);
 
-/// Reads the configuration for ever: again and again while this daemon reads the store for its group, else
-/// only where a proof is wanted.
+/// Reads the configuration until the process ends: periodically while this gateway reads the store for its group, otherwise
+/// only when a proof is requested.
 pub async fn run(state: Rc<GatewayState>) {
     let mut is_reachable = true;
     let mut failures = 0;
     let mut probed_at = None;
     if state.settings.is_first_start {
-        // Nobody calls yet, and most daemons learn from others what is in force.
+        // There are no callers yet, and most gateways learn the configuration in force from others.
         until_read_needed(&state).await;
     }
     loop {
@@ -79,7 +81,7 @@
         }
         failures = 0;
         if !state.currency.is_within(began.elapsed()) {
-            // Every request wants a proof that the store can't give until the operator has written again.
+            // Every request asks for a proof, which the store can't provide until the operator writes a newer version.
             tokio::time::sleep(UNPROVEN_READ_DELAY).await;
         }
         tokio::select! {
@@ -89,20 +91,20 @@
     }
 }
 
-/// What became of a newer configuration that another daemon has_version.
+/// The outcome of reading a newer configuration that another gateway has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NewerOutcome {
-    /// None is known of.
+    /// No newer configuration is known.
     NoneKnown,
-    /// It is in force here.
+    /// The newer configuration is in force here.
     Applied,
-    /// A read that may be seconds old did not bring it, so the newest one has to be read.
+    /// Reads of possibly old data did not return it, so a read of the newest data is needed.
     Missing,
 }
 
-/// Takes in the configuration that another daemon has_version, from reads that may be seconds old: hundreds of daemons
-/// read each change, and such a read costs the store a tenth. Each read waits a little, so that the store has something recent
-/// to show and changes that come together are read once.
+/// Applies the configuration that another gateway has, from reads of data that may be seconds old: hundreds of gateways
+/// read each change, and such a read costs the store a tenth of a current one. Each read is delayed a little, so that the
+/// change has reached the older data and changes in quick succession are read once.
 async fn apply_newer(state: &Rc<GatewayState>) -> NewerOutcome {
     let Some(mut newer) = state.currency.take_requested_version() else {
         return NewerOutcome::NoneKnown;
@@ -123,7 +125,7 @@
         let objects = match list_recent(state, ObjectKind::Configuration).await {
             Ok(objects) => objects,
             Err(error) => {
-                log::debug!("recent configuration not read: {error}");
+                log::debug!("list of recent configurations failed: {error}");
                 return NewerOutcome::Missing;
             }
         };
@@ -131,7 +133,8 @@
             apply_configuration(state, object);
         }
         if has_version(state, newer.version) {
-            // A still newer one is the newest at a later moment: this one was so when it was proved.
+            // Even if the store already has a later version: the proof shows that this one was the newest when the proof's read
+            // began.
             state.currency.prove(state.held_version(), newer.proof);
             return NewerOutcome::Applied;
         }
@@ -139,8 +142,8 @@
     NewerOutcome::Missing
 }
 
-/// Waits for `pause`; the newest configuration that was told by then, `newer` or a later one. Nothing where a request wants a
-/// proof meanwhile, which then can't wait.
+/// Waits for `pause` and returns the newest version reported by then, `newer` or a later one. Returns `None` if a request asks
+/// for a proof meanwhile, since that can't wait.
 async fn collect_newer(
     state: &GatewayState,
     mut newer: NewerVersion,
@@ -156,21 +159,21 @@
     }
 }
 
-/// Whether the configuration in force is of `version` or a later one.
+/// Whether the configuration in force has `version` or a later one.
 fn has_version(state: &GatewayState, version: u64) -> bool {
     state.configuration.load().is_some() && state.held_version() >= version
 }
 
-/// Whether a proof is left to the daemons that may call the store: while it is down for all, every request wants one.
-/// Where it is not, it may refuse just these few, and this daemon reads for itself.
+/// Whether this gateway leaves the proof to those that may call the store: while the store is down for all, every request asks
+/// for a proof. Otherwise the store may be failing only those few, and this gateway reads for itself.
 fn is_proof_left_to_others(state: &GatewayState) -> bool {
     let reads = state.peers.is_reader.get() || state.peers.may_read.get();
     let down_at = state.weights.borrow().last_store_down_at();
     !reads && down_at.is_some_and(|at| at.elapsed() < STORE_DOWN_RETENTION)
 }
 
-/// Looks whether the store fails this daemon too, by a read that costs the store a tenth. Others tell when it is back,
-/// so only a failure matters, which is remembered with the lists that failed.
+/// Probes whether the store fails this gateway too, by a read of possibly old data, which costs the store a tenth of a current
+/// one. Others announce the store's return, so only a failure matters; it is recorded as a failed list.
 async fn probe_store(state: &GatewayState, probed_at: &mut Option<Instant>) {
     if probed_at.is_some_and(|at| at.elapsed() < PROBE_INTERVAL) {
         return;
@@ -178,11 +181,11 @@
     *probed_at = Some(Instant::now());
     let listing = || list_recent(state, ObjectKind::Configuration);
     if let (_, Err(error)) = state.store_outage.call(listing).await {
-        log::debug!("the store fails this daemon too: {error}");
+        log::debug!("probe of the store failed: {error}");
     }
 }
 
-/// Ends when this daemon reads for others, or a proof is wanted.
+/// Waits until this gateway reads for others or a proof is requested.
 async fn until_read_needed(state: &GatewayState) {
     tokio::select! {
         () = state.peers.until_reader() => {}
@@ -190,8 +193,8 @@
     }
 }
 
-/// Waits until the store, which has failed this daemon, is to be tried again. Where another daemon reads it meanwhile, one call
-/// now and then shows whether it is back for this one.
+/// Waits until the next attempt at a store that has failed this gateway. While another gateway reads it, an occasional call
+/// shows whether the store answers this one again.
 async fn until_retry(state: &GatewayState) {
     if !state.peers.may_read.get() {
         return until_read_needed(state).await;
@@ -218,7 +221,7 @@
                 state.currency.note_lost_version(highest);
             }
             let was_lost = note_store_regained(state, is_reachable);
-            // After an outage the replicas are listed anew, which proves the view: watches from before may be deaf.
+            // After an outage the view is proved by listing the replicas again: watches from before may never be answered.
             if !was_lost && state.peers.is_reader.get() && state.peers.follows_replicas.get() {
                 state.peers.prove_view(began);
             }
@@ -240,7 +243,7 @@
     }
 }
 
-/// Announces that the store answers again where it did not before; true in that case.
+/// Ends the outage and announces it to the other gateways if the store did not answer before; returns true in that case.
 fn note_store_regained(state: &GatewayState, is_reachable: &mut bool) -> bool {
     let was_lost = !std::mem::replace(is_reachable, true);
     if was_lost {
--- a/crates/gateway/src/store/copied_entries.rs
+++ b/crates/gateway/src/store/copied_entries.rs
@@ -1,5 +1,5 @@
-//! Entries of replicas that came back with a copy of the store, or by a late write after they had left, see
-//! [`crate::replicas::GoneLives`].
+//! Entries of replicas that reappear although the replica is gone: because the store was restored from a copy, or because of a
+//! late write after the replica had left. See [`crate::replicas::GoneLives`].
 
 use driftspring_clock::Instant;
 use driftspring_telemetry::events::gateway;
@@ -9,30 +9,31 @@
 use crate::peers::message::{Change, Item, WireReplica};
 use crate::state::GatewayState;
 
-/// Whether a told entry is not to be used: that life was gone before the store came back from a copy, or had left. One that is still in use
-/// without an entry has waited for it.
-pub fn is_held_back(state: &GatewayState, told: &WireReplica) -> bool {
-    let is_in_use = state.registry.get(&told.id).is_some();
+/// Whether a reported entry must not be used because that incarnation was gone before the store was restored from a copy, or
+/// had left. The entry of a replica that is still in use is never held back.
+pub fn is_held_back(state: &GatewayState, entry: &WireReplica) -> bool {
+    let is_in_use = state.registry.get(&entry.id).is_some();
     if is_in_use {
         return false;
     }
     let changes = state.store_eras.changes();
     let mut gone = state.gone_lives.borrow_mut();
-    let was_held = gone.is_held_back(&told.id);
-    let is_held = gone.holds_back(told, changes, Instant::now());
+    let was_held = gone.is_held_back(&entry.id);
+    let is_held = gone.holds_back(entry, changes, Instant::now());
     if is_held && !was_held {
         state.status.metrics.replicas_held_back.inc();
         log_event!(
             gateway::REPLICA_HELD_BACK,
             "replica={} born={:?}",
-            told.id,
-            told.born
+            entry.id,
+            entry.born
         );
     }
     is_held
 }
 
-/// Takes in that the entry of a replica is gone for good, which was `known` until then; one that was held back was not known.
+/// Records that the entry of a replica was removed. `known` is the entry that was in use until then; an entry that was held
+/// back was not.
 pub fn note_gone(state: &GatewayState, id: &str, known: Option<&Item>) {
     let changes = state.store_eras.changes();
     let now = Instant::now();
@@ -48,8 +49,8 @@
     }
 }
 
-/// Takes in where the store has the entry of a replica: what was written after the first answer of its era did not come with
-/// the copy.
+/// Records the store position of a replica's entry: an entry written after the first answer of its era does not come from the
+/// copy, so it is no longer held back.
 pub(super) fn note_written(state: &GatewayState, id: &str, position: StorePosition) {
     let begin = state.store_era_begin.get();
     if position.era == begin.era && position.revision > begin.revision {
@@ -57,8 +58,8 @@
     }
 }
 
-/// Puts entries into use that were held back for long enough: the platform has not removed them. A daemon that follows another
-/// may not have heard of a removal, and asks for everything anew.
+/// Puts entries into use that were held back for long enough without being removed by the platform. A gateway that follows
+/// another may have missed a removal, so it requests the complete state instead.
 pub fn release(state: &GatewayState) {
     let released = state.gone_lives.borrow_mut().take_over(Instant::now());
     if released.is_empty() {
--- a/crates/gateway/src/store/era.rs
+++ b/crates/gateway/src/store/era.rs
@@ -1,7 +1,8 @@
-//! The era of the store, as its answers and other daemons tell it.
+//! Tracks the era of the store, as named by its answers and by other gateways.
 //!
-//! An answer that names a lower era than is known comes from a copy that is gone: what it says counts for nothing. A store
-//! that names no other era for long has forgotten how to count, and is served on with; so is one that names none.
+//! An answer with a lower era than the known one comes from a copy of the store that has been replaced, and is rejected. If the
+//! store names only lower eras for a long time, its counter is taken to be broken and its answers are accepted again, like
+//! those of a store that names no era.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,46 +19,46 @@
 use crate::protocol::UnreadableReason;
 use crate::state::GatewayState;
 
-/// How long answers that name a lower era are refused since one last named the known era. A daemon without any answer
-/// for so long is out of touch (`contactMs`); a copy that is gone answers no call so late (1.5 s).
+/// How long after the known era was last named answers with a lower era are rejected. A gateway without any answer for so long
+/// is out of touch (`contactMs`); a copy that has been replaced answers no call so late (1.5 s).
 pub const LOWER_ERA_REJECTION_WINDOW: Duration = Duration::from_secs(3);
 
-/// Changes of the era that are taken in within [`ERA_CHANGES_WINDOW`]. Each has every reader list anew, which takes up to 2 s; a
-/// store that names a later era in every answer counts something else.
+/// Maximum number of era changes accepted within [`ERA_CHANGES_WINDOW`]. After each, every reader lists all objects again,
+/// which takes up to 2 s; a store that names a later era in every answer counts something else.
 const MAX_ERA_CHANGES: usize = 4;
 
-/// See [`MAX_ERA_CHANGES`].
+/// The sliding window of [`MAX_ERA_CHANGES`].
 const ERA_CHANGES_WINDOW: Duration = Duration::from_secs(10);
 
-/// The era that an answer names.
+/// The era field of an answer of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerEra {
-    /// None.
+    /// The answer names no era.
     Missing,
-    /// What it names is no era.
+    /// The answer's era can't be parsed.
     Unreadable(String),
-    /// This one.
+    /// The answer names this era.
     Named(StoreEra),
 }
 
-/// What the era named by an answer says of it.
+/// How an answer is treated because of the era that it names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EraVerdict {
-    /// It is of the known era.
+    /// The answer is of the known era.
     Current,
-    /// It is of a later era, or the first that is named.
+    /// The answer is of a later era, or names an era for the first time.
     Later(StoreEra),
-    /// It names a later era that no answer has named before: it is to be asked for again.
+    /// The answer names a later era that no answer has named before; the call is to be repeated for confirmation.
     Unconfirmed(StoreEra),
-    /// It is of an earlier era: it counts for nothing.
+    /// The answer is of an earlier era and is rejected.
     Earlier(StoreEra),
-    /// It counts as of the known era, though it does not name that.
+    /// The answer counts as one of the known era although it does not name that.
     Doubtful,
 }
 
-/// Reads the era that an answer names, where `known` was last named `confirmed_ago`.
-pub fn read_era(known: StoreEra, told: &AnswerEra, confirmed_ago: Duration) -> EraVerdict {
-    match told {
+/// Judges the era that an answer names, given that the era `known` was last named `confirmed_ago`.
+pub fn judge_era(known: StoreEra, answered: &AnswerEra, confirmed_ago: Duration) -> EraVerdict {
+    match answered {
         AnswerEra::Missing if known == StoreEra::UNNAMED => EraVerdict::Current,
         AnswerEra::Missing | AnswerEra::Unreadable(_) => EraVerdict::Doubtful,
         AnswerEra::Named(era) if *era == known => EraVerdict::Current,
@@ -69,22 +70,22 @@
     }
 }
 
-/// The latest era that is known.
+/// Tracks the latest known era and its changes.
 #[derive(Debug)]
 pub struct StoreEraTracker {
     known: Cell<StoreEra>,
     confirmed_at: Cell<Instant>,
-    /// Whether something was taken in of a store that named no era.
+    /// Whether an answer without an era was accepted as current.
     has_read_unnamed: Cell<bool>,
-    /// The later era that the last answer named which named one.
+    /// The later era named most recently, until a second answer confirms it.
     unconfirmed_era: Cell<Option<StoreEra>>,
-    /// When the era changed within the last [`ERA_CHANGES_WINDOW`].
+    /// The times of the era changes within the last [`ERA_CHANGES_WINDOW`].
     changed_at: RefCell<VecDeque<Instant>>,
     changes: watch::Sender<u64>,
 }
 
 impl StoreEraTracker {
-    /// No era is known at `now`.
+    /// Creates a tracker that knows no era at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
             known: Cell::default(),
@@ -101,27 +102,29 @@
         self.known.get()
     }
 
-    /// Reads the era that an answer names which came at `now`.
-    pub fn read(&self, told: &AnswerEra, now: Instant) -> EraVerdict {
+    /// Judges the era named by an answer that arrived at `now`.
+    pub fn judge(&self, answered: &AnswerEra, now: Instant) -> EraVerdict {
         let confirmed_ago = now.saturating_duration_since(self.confirmed_at.get());
-        let reading = match read_era(self.known.get(), told, confirmed_ago) {
+        let verdict = match judge_era(self.known.get(), answered, confirmed_ago) {
             EraVerdict::Later(_) if !self.may_change(now) => EraVerdict::Doubtful,
             EraVerdict::Later(era) => self.confirm(era),
-            reading => reading,
+            verdict => verdict,
         };
-        match reading {
-            EraVerdict::Current if *told == AnswerEra::Missing => self.has_read_unnamed.set(true),
+        match verdict {
+            EraVerdict::Current if *answered == AnswerEra::Missing => {
+                self.has_read_unnamed.set(true)
+            }
             EraVerdict::Current => self.confirmed_at.set(now),
             EraVerdict::Later(_)
             | EraVerdict::Unconfirmed(_)
             | EraVerdict::Earlier(_)
             | EraVerdict::Doubtful => {}
         }
-        reading
+        verdict
     }
 
-    /// Reads a later era. It is believed once two answers in a row have named it: a store that names another one each time
-    /// counts something else. The first era at all is believed at once.
+    /// Judges a later era. It is accepted once two answers in a row have named it: a store that names a different one each time
+    /// counts something else. The very first era is accepted at once.
     fn confirm(&self, era: StoreEra) -> EraVerdict {
         let before = self.unconfirmed_era.replace(Some(era));
         let is_first = self.known() == StoreEra::UNNAMED && !self.has_read_unnamed.get();
@@ -133,15 +136,15 @@
         }
     }
 
-    /// Whether a later era is believed at `now`, see [`MAX_ERA_CHANGES`].
+    /// Whether a later era may be accepted at `now`, see [`MAX_ERA_CHANGES`].
     pub fn may_change(&self, now: Instant) -> bool {
         let mut changed_at = self.changed_at.borrow_mut();
         changed_at.retain(|at| now.saturating_duration_since(*at) < ERA_CHANGES_WINDOW);
         changed_at.len() < MAX_ERA_CHANGES
     }
 
-    /// Takes in a later era, named at `now`; whether the store has changed to it from another one. The first era that is
-    /// named is no change, unless the store was read before without one.
+    /// Sets a later era, named at `now`; returns whether this is a change of the store's era. The first era that is named is no
+    /// change unless the store was read before without one.
     pub fn advance(&self, era: StoreEra, now: Instant) -> bool {
         let before = self.known.get();
         if era <= before {
@@ -158,58 +161,60 @@
         is_change
     }
 
-    /// How often the store has changed its era so far.
+    /// The number of era changes so far.
     pub fn changes(&self) -> u64 {
         *self.changes.borrow()
     }
 
-    /// How long before `now` the store last changed its era; nothing where it has not done so
-    /// lately.
+    /// How long before `now` the store last changed its era; `None` if it has not done so recently.
     pub fn changed_ago(&self, now: Instant) -> Option<Duration> {
         let changed_at = self.changed_at.borrow();
         let last = changed_at.back()?;
         Some(now.saturating_duration_since(*last))
     }
 
-    /// Waits until the store has changed its era more than `changes` times.
+    /// Waits until the number of era changes exceeds `changes`.
     pub async fn changed_after(&self, changes: u64) {
         let mut receiver = self.changes.subscribe();
-        // The sender lives as long as this borrow.
+        // This can't fail: the sender outlives this borrow.
         let _ = receiver.wait_for(|known| *known > changes).await;
     }
 }
 
-/// Takes in the era that an answer of the store names; the era of the answer, or an error where it is of an earlier
-/// one, or names a later one that is not confirmed yet.
+/// Applies the era that an answer of the store names and returns the era in which the answer counts.
+///
+/// # Errors
+///
+/// The answer is of an earlier era, or names a later one that is not confirmed yet.
 pub(super) fn accept_answer_era(
     state: &GatewayState,
-    told: &AnswerEra,
+    answered: &AnswerEra,
 ) -> Result<StoreEra, StoreError> {
     let eras = &state.store_eras;
-    match eras.read(told, Instant::now()) {
+    match eras.judge(answered, Instant::now()) {
         EraVerdict::Current => {}
         EraVerdict::Later(era) => adopt_later_era(state, era, "store"),
         EraVerdict::Earlier(_) => {
-            reject(state, "earlier", told);
+            reject(state, "earlier", answered);
             return Err(StoreError::StaleEra);
         }
         EraVerdict::Unconfirmed(_) => return Err(StoreError::EraChanged),
-        EraVerdict::Doubtful => reject(state, "doubtful", told),
+        EraVerdict::Doubtful => reject(state, "doubtful", answered),
     }
     Ok(eras.known())
 }
 
-/// Takes in the era that the daemon `source` knows; one of an earlier version tells none.
-pub fn adopt_peer_era(state: &GatewayState, told: Option<u64>, source: &str) {
-    let told = StoreEra::from_number(told);
+/// Adopts the era that the gateway `source` reports if it is later; gateways of earlier versions report none.
+pub fn adopt_peer_era(state: &GatewayState, reported: Option<u64>, source: &str) {
+    let reported = StoreEra::from_number(reported);
     let eras = &state.store_eras;
-    if told > eras.known() && eras.may_change(Instant::now()) {
-        adopt_later_era(state, told, source);
+    if reported > eras.known() && eras.may_change(Instant::now()) {
+        adopt_later_era(state, reported, source);
     }
 }
 
-/// Takes in a later era. What was read before may be gone, so every reader lists anew; kept connections may lead to the copy
-/// before, and are closed.
+/// Adopts a later era. Objects read before may no longer exist, so every reader lists them again; pooled connections may lead
+/// to the previous copy and are closed.
 fn adopt_later_era(state: &GatewayState, era: StoreEra, source: &str) {
     let before = state.store_eras.known();
     let is_change = state.store_eras.advance(era, Instant::now());
@@ -230,14 +235,14 @@
         state.store_position.get()
     );
     state.store.clear();
-    // Tasks that wait for a store that does not answer need not wait on.
+    // The store has answered, so tasks that wait for the end of an outage may continue.
     state.store_outage.end();
     state.quarantine.kept.notify_one();
     state.peers.nudge();
 }
 
-/// Logs, once for each kind of answer, and counts that the era of an answer was not what it should be.
-fn reject(state: &GatewayState, what: &str, told: &AnswerEra) {
-    let detail = format!("{told:?} after {}", state.store_eras.known());
+/// Counts an answer with an unexpected era, and logs the first one of each kind.
+fn reject(state: &GatewayState, what: &str, answered: &AnswerEra) {
+    let detail = format!("{answered:?} after {}", state.store_eras.known());
     state.reject(Rejected::StoreEra, what, UnreadableReason::Fields, detail);
 }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the objects of one kind: a list, then watches from its revision on.
+//! Follows the store objects of one kind: lists them, then watches for changes after the list's revision.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -21,36 +21,36 @@
 use crate::rollout::{LEASE_NAME, record_in};
 use crate::state::{GatewayState, JUST_STARTED};
 
-/// How long one watch waits for a change.
+/// How long a watch waits for a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The pause between a watch that ended and the next list.
+/// Delay between the end of a watch and the next list.
 const RELIST_DELAY: Duration = Duration::from_millis(200);
 
-/// The pause between two watches of daemons, which come in crowds and don't matter at once.
+/// Delay between two watches of gateways: their changes come in bursts and are not urgent.
 const DAEMONS_WATCH_DELAY: Duration = Duration::from_millis(600);
 
-/// The pause between two watches of replicas: while new weights are loaded an entry changes every few ten
-/// milliseconds, and each watch that returns is paid for. A tenth of the time in which a replica that is
-/// leaving may still get requests (`drainMs`, 2 s).
+/// Delay between two watches of replicas: while new weights are loaded, an entry changes every few tens of milliseconds, and
+/// each answered watch is charged for. This is a tenth of the time in which a draining replica may still get requests
+/// (`drainMs`, 2 s).
 const REPLICAS_WATCH_DELAY: Duration = Duration::from_millis(200);
 
-/// The pause between two watches of requests that end replicas: several are held, tried and cleared within seconds, and daemons
-/// tell each other of that. Only what an operator releases is heard of so much later.
+/// Delay between two watches of quarantined requests: several may be held, tried and cleared within seconds, and gateways
+/// notify each other of that. Only a release by an operator is learned this much later.
 const QUARANTINE_WATCH_DELAY: Duration = Duration::from_millis(600);
 
-/// How long a list waits that may wait: what comes and goes within that time, such as a reader while the store is in trouble,
-/// costs no list (457 instead of 484 calls a day, mean of 18 standard days).
+/// Delay before a list that is not urgent: a reader that is replaced within that time, as happens during trouble at the store,
+/// makes no list (457 instead of 484 calls a day, mean of 18 standard days).
 const DEFERRED_LIST_DELAY: Duration = Duration::from_millis(2500);
 
-/// How often a watch looks whether the store has changed without it. With a read of the configuration each
-/// 0.9 s, which tells the store's revision, an answer that was lost is asked for again within 1.4 s; a replica
-/// that leaves may get requests for 2 s (`drainMs`).
+/// Interval at which a pending watch checks whether the store has advanced without an answer to it. Reads of the
+/// configuration, each 0.9 s, return the store's revision, so a watch whose answer was lost is repeated within 1.4 s; a
+/// draining replica may get requests for 2 s (`drainMs`).
 const LOST_ANSWER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Follows `kind` whenever this daemon reads the store for its group. Whenever a watch ends otherwise than
-/// by an answer, the list is read anew, since changes may have been missed. So is it after trouble at the store:
-/// a watch from before may be deaf. A watch also ends when the store changes its era, see [`super::era`].
+/// Follows `kind` whenever this gateway reads the store for its group. When a watch ends without an answer, the objects are
+/// listed again, since changes may have been missed. The same happens after an outage of the store, because a watch from
+/// before may never be answered. A watch also ends when the store changes its era, see [`super::era`].
 pub async fn run(state: Rc<GatewayState>, kind: ObjectKind) {
     if let Some(objects) = first_list(&state, kind).await {
         apply_list(&state, kind, objects, StorePosition::default());
@@ -94,15 +94,16 @@
     }
 }
 
-/// Whether a list may wait: daemons tell each other what is quarantined, so one that has run for a while knows it from them.
+/// Whether a list is not urgent: gateways tell each other what is quarantined, so one that has run for a while knows it from
+/// the others.
 fn is_list_deferrable(state: &GatewayState, kind: ObjectKind) -> bool {
     kind == ObjectKind::Quarantine && state.now() > JUST_STARTED
 }
 
-/// What is listed at the start of a daemon that was started again, whichever daemon reads the store for the group:
-/// callers come to it at once. Its source tells it within half a second what has changed since a recent list of
-/// replicas, but weights count from when they were named. In a large group only the few that may read the store list
-/// the replicas.
+/// The list that a restarted gateway reads at its start, whichever gateway reads the store for the group, since callers use it
+/// at once. Replicas are listed from data that may be seconds old, since the gateway's source reports later changes within
+/// half a second; weights are listed from current data, since their deadlines count from the time they were named. In a large
+/// group only the few gateways that may read the store list the replicas.
 async fn first_list(state: &GatewayState, kind: ObjectKind) -> Option<Vec<StoredObject>> {
     if state.settings.is_first_start {
         return None;
@@ -121,8 +122,8 @@
         .ok()
 }
 
-/// Takes in that this daemon follows `kind` from a list that was read at `listed_at`, or does not any more; the
-/// others may rely on what it tells while it follows replicas.
+/// Records that this gateway follows `kind` from a list read at `listed_at`, or no longer follows it (`None`). Other gateways
+/// may rely on its view while it follows replicas.
 fn note_following(state: &GatewayState, kind: ObjectKind, listed_at: Option<Instant>) {
     if kind != ObjectKind::Replicas {
         return;
@@ -133,7 +134,7 @@
     }
 }
 
-/// Takes in changes until a watch fails.
+/// Watches from `position` and applies changes until a watch fails; returns the error.
 async fn watch_from(
     state: &Rc<GatewayState>,
     kind: ObjectKind,
@@ -163,9 +164,9 @@
     }
 }
 
-/// Ends when the answer of a watch that begins now may be lost, since the store has changed without it: an answer can
-/// be lost without a call that fails. The change may be one of another kind, so the watch is asked again from where it
-/// stood, once for each look. Only for kinds whose changes must be known within a bound, and of which nothing else tells.
+/// Waits until the store has advanced although a watch that starts now was not answered: its answer may be lost without a
+/// failed call. The change may be one of another kind, so the watch is repeated from the same position, at most once per
+/// check. Waits forever for kinds whose changes need not be known within a bound, or are also reported in another way.
 async fn until_store_advances(state: &GatewayState, kind: ObjectKind) {
     if !matches!(kind, ObjectKind::Replicas | ObjectKind::Weights) {
         return std::future::pending().await;
@@ -179,7 +180,7 @@
     }
 }
 
-/// How long changes of a kind gather before the next watch asks for them.
+/// How long changes of a kind accumulate before the next watch.
 fn watch_delay(kind: ObjectKind) -> Option<Duration> {
     match kind {
         ObjectKind::Daemons => Some(DAEMONS_WATCH_DELAY),
@@ -189,7 +190,7 @@
     }
 }
 
-/// Takes in the whole list of objects as it was at `position`.
+/// Applies a complete list of objects as of `position`.
 fn apply_list(
     state: &GatewayState,
     kind: ObjectKind,
@@ -217,8 +218,8 @@
     }
 }
 
-/// Takes in the whole list of replicas or daemons: what is not in it is gone, but for daemons that may have to write their
-/// entries again.
+/// Applies a complete list of replicas or gateways: those missing from it are gone, except gateways that may still have to
+/// rewrite their entries.
 pub fn apply_item_list(state: &GatewayState, kind: ObjectKind, objects: Vec<StoredObject>) {
     state.peers.learnt_elsewhere();
     if kind == ObjectKind::Daemons {
@@ -250,7 +251,7 @@
     state.registry_changed();
 }
 
-/// What replicas and daemons are called among daemons.
+/// The key under which gateways exchange a replica or gateway; `None` for other kinds.
 fn item_key(kind: ObjectKind, name: &str) -> Option<ItemKey> {
     match kind {
         ObjectKind::Replicas => Some(ItemKey::Replica(name.to_owned())),
@@ -294,7 +295,7 @@
         }
         Err(_) => {
             note_unreadable(state, kind, &object);
-            // Whatever its name meant before, it names no replica and no daemon now.
+            // Whatever entry this name had before, it is no valid replica or gateway now.
             if let Some(key) = item_key(kind, &object.name) {
                 state.apply(Change::Gone(key));
             }
@@ -311,7 +312,7 @@
     }
 }
 
-/// Puts a configuration in force, unless a newer one is.
+/// Puts a configuration in force if it is newer than the current one.
 pub fn apply_configuration(state: &GatewayState, object: StoredObject) {
     let configuration = match object.content {
         Ok(ObjectContent::Configuration(configuration)) => configuration,
@@ -336,7 +337,7 @@
     put_in_force(state, *configuration);
 }
 
-/// Takes in a configuration that the daemon `holder` handed on, unless it is no newer than the one in force.
+/// Puts a configuration in force that the gateway `holder` handed on, if it is newer than the current one.
 pub fn apply_handed_on_configuration(
     state: &GatewayState,
     configuration: Configuration,
--- a/crates/gateway/src/store/follow_weights.rs
+++ b/crates/gateway/src/store/follow_weights.rs
@@ -1,4 +1,7 @@
-//! Takes in the objects that name the weights of models.
+//! Applies the store objects in which the operator names the wanted version of each model's weights.
+//!
+//! A naming is the write with which the operator sets a new version. Its time matters: replicas with older weights may serve
+//! only for a limited time after it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,30 +17,30 @@
 use crate::suspected_weights::Suspicion;
 use crate::weights::Since;
 
-/// How much of the time for new weights a daemon has that has just started, whatever their age. It may use older
-/// ones until it is in touch, 3 s (`contactMs`) after the start of its process; that lies up to 0.3 s before that
-/// of that daemon's clock; and it sends none to them in the last 1.5 s: 3 - 0.3 + 1.5.
+/// How much of the deadline for new weights is left to a gateway that has just started, whatever their age. It may use older
+/// weights until it is in touch, 3 s (`contactMs`) after the start of its process, which precedes the start of its own clock
+/// by up to 0.3 s; and it sends no requests to them in the last 1.5 s: 3 - 0.3 + 1.5.
 const INITIAL_WEIGHTS_GRACE: Duration = Duration::from_millis(4200);
 
-/// The version of a model's weights that replicas start with (operator's pages).
+/// The version of the weights with which replicas start (operator's pages).
 const FIRST_VERSION: u64 = 1;
 
-/// Takes in an object as a watch tells of it.
+/// Applies an object reported by a watch.
 pub(super) fn apply_written(state: &GatewayState, weights: &ModelVersion, position: StorePosition) {
     note_stored_weights(state, weights, position);
-    // A change of an object whose version is known is no naming.
+    // A write that keeps a known version is no naming.
     let newest = state.weights.borrow().newest(&weights.model);
     if newest >= Some(weights.version) {
         return;
     }
-    // When a watch tells of it says nothing: its answer may have been lost before, or have waited for a process
-    // that stood still (8.5 s after a naming requests began on older weights, where 7 s are allowed).
+    // The time of the watch's answer is not the time of the naming: an earlier answer may have been lost, or this process may
+    // have been suspended (requests began on older weights 8.5 s after a naming, where 7 s are allowed).
     let since = named_after(state, position);
     let since = since.unwrap_or_else(Instant::now);
     name_weights(state, weights, Since::Known(since));
 }
 
-/// Takes in a list of wanted weights.
+/// Applies a list of wanted weights.
 pub(super) fn apply_list(state: &GatewayState, objects: Vec<StoredObject>) {
     let fallback = assumed_since(state);
     for object in objects {
@@ -48,7 +51,7 @@
     }
 }
 
-/// Takes in an object as a list shows it; `fallback` is since when weights count of whose naming nothing is known.
+/// Applies an object from a list; `fallback` is the time from which a version counts if nothing is known of its naming.
 fn apply_listed(
     state: &GatewayState,
     weights: &ModelVersion,
@@ -67,8 +70,8 @@
         let known = weights.version.max(newest.unwrap_or(0));
         suspect_next_weights(state, &weights.model, known, "hidden by a later write");
     }
-    // An object that is written again, as after the store's return from a copy, is no naming: it must not make a
-    // version younger whose age was assumed.
+    // A rewrite of the same version, as after a restore of the store from a copy, is no naming: it must not reduce the age
+    // of a version whose age was assumed.
     if newest >= Some(weights.version) {
         return;
     }
@@ -78,8 +81,8 @@
     }
 }
 
-/// Takes in the object of a model's weights: where the version that is known was written again, the one after it may have
-/// stood there in between.
+/// Records the store position of a model's weights. If the known version was written again, the next version may have been
+/// there in between.
 fn note_stored_weights(state: &GatewayState, weights: &ModelVersion, position: StorePosition) {
     let not_before = named_after(state, position);
     let is_written_again = state
@@ -93,7 +96,8 @@
     suspect_next_weights(state, &weights.model, weights.version, "written again");
 }
 
-/// Takes in that the version after `known` may have been named since all namings were last known: versions count up by one.
+/// Records that the version after `known` may have been named since the time up to which all namings are known; versions
+/// increase by one.
 fn suspect_next_weights(state: &GatewayState, model: &str, known: u64, reason: &str) {
     let Some(version) = known.checked_add(1) else {
         return;
@@ -104,7 +108,7 @@
     suspect_weights(state, Suspicion { weights, since }, reason);
 }
 
-/// Takes in versions above those known that entries of replicas show, of each model the lowest.
+/// Records versions above the known ones that replica entries show: for each model the lowest one.
 pub fn note_shown_weights(state: &GatewayState, shown: &HashMap<String, u64>) {
     let now = Instant::now();
     let shown_for_long = state.suspected_weights.borrow_mut().note_shown(shown, now);
@@ -114,7 +118,7 @@
     }
 }
 
-/// Takes in weights that may have been named; the daemon that may order replicas tries them.
+/// Records weights that may have been named; the gateway that may give orders to replicas tries them.
 pub fn suspect_weights(state: &GatewayState, suspicion: Suspicion, reason: &str) {
     let weights = suspicion.weights.clone();
     let newest = state.weights.borrow().newest(&weights.model);
@@ -134,14 +138,14 @@
     state.rollout_wanted.notify_one();
 }
 
-/// The version that replicas have of a model of which nothing is named, as far as all namings are known: none was passed over
-/// at the first list.
+/// The version that replicas have of a model without any naming. `None` unless all namings are known up to some time: then
+/// the first list of a model counts as complete, without skipped versions.
 fn first_version(state: &GatewayState) -> Option<u64> {
     let progress = state.store_progress.borrow();
     state.known_namings.until(&progress).map(|_| FIRST_VERSION)
 }
 
-/// The oldest version that was named between the newest one that is known and `listed`: versions count up by one.
+/// The oldest version that was named between the newest known one and `listed`; versions increase by one.
 fn skipped_version(listed: &ModelVersion, newest: Option<u64>) -> Option<ModelVersion> {
     let version = newest?.checked_add(1)?;
     (version < listed.version).then(|| ModelVersion {
@@ -150,21 +154,20 @@
     })
 }
 
-/// Since when a version counts that was named at an fallback moment after all namings had been known, as far as that is
-/// known: weights that it follows must not serve longer since its own naming was not seen.
+/// The time from which a version counts that was named at an unknown time after the one up to which all namings are known;
+/// `fallback` if there is no such time. That its naming was not seen must not let older weights serve longer.
 fn since_last_known(state: &GatewayState, fallback: Since) -> Since {
     let progress = state.store_progress.borrow();
     let known_until = state.known_namings.until(&progress);
     known_until.map_or(fallback, Since::Known)
 }
 
-/// Since when weights count that are listed and of which no read before their naming is known. They may be wanted
-/// for any time: they count as old, but for the time in which a daemon that has just started is not yet held to
-/// them.
+/// The time from which listed weights count if no read before their naming is known. They may have been wanted for any length
+/// of time, so they count as old, except that a gateway that has just started gets some time to switch to them.
 fn assumed_since(state: &GatewayState) -> Since {
     let deadline = state.times.get().weights_deadline;
-    // Where the store did not answer at first, nobody could load anything before it did; and a daemon that lists
-    // them late in its life has known of weights from others.
+    // If the store did not answer at first, nothing could be loaded before it did; and a gateway that lists weights late
+    // after its start has learned of them from others.
     let now = Instant::now();
     let was_in_trouble = state.store_outage.had_recent_failure(now);
     let listing_possible_for = match was_in_trouble || state.now() > JUST_STARTED {
@@ -173,25 +176,25 @@
     };
     let age = initial_weights_age(deadline, listing_possible_for);
     let assumed = now.checked_sub(age).unwrap_or(now);
-    // In a new era of the store, what was named before the last read of the era before is known: replicas with older weights
-    // must not all go out of use at once because the naming itself was not seen.
+    // In a new era of the store, all namings before the last read of the previous era are known: replicas with older
+    // weights must not all go out of use at once because the naming itself was not seen.
     let progress = state.store_progress.borrow();
     let known_at = progress.last_read_before_era(state.store_eras.known());
     Since::Assumed(known_at.map_or(assumed, |known_at| assumed.max(known_at)))
 }
 
-/// The moment after which an object got its position, as far as that is known: they may be heard of late.
+/// The latest time that is known to precede the change at `position`, if any: changes may be reported late.
 fn named_after(state: &GatewayState, position: StorePosition) -> Option<Instant> {
     state.store_progress.borrow().last_read_before(position)
 }
 
-/// The age at which weights count that are listed for the first time, by a daemon that could have listed them
-/// `since` so long.
-pub fn initial_weights_age(deadline: Duration, since: Duration) -> Duration {
-    deadline.saturating_sub(INITIAL_WEIGHTS_GRACE.saturating_sub(since))
+/// The age given to weights that are listed for the first time, by a gateway that could have listed them for
+/// `listing_possible_for`.
+pub fn initial_weights_age(deadline: Duration, listing_possible_for: Duration) -> Duration {
+    deadline.saturating_sub(INITIAL_WEIGHTS_GRACE.saturating_sub(listing_possible_for))
 }
 
-/// Takes in weights that are wanted since `since`.
+/// Records weights that are wanted since `since`.
 pub fn name_weights(state: &GatewayState, weights: &ModelVersion, since: Since) {
     let age = since.moment().elapsed();
     let is_newest = state.weights.borrow_mut().add(weights, since);
--- a/crates/gateway/src/store/join.rs
+++ b/crates/gateway/src/store/join.rs
@@ -1,4 +1,4 @@
-//! Makes this daemon known to the others through the store.
+//! Registers this gateway in the store, through which the others discover it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,15 +12,15 @@
 use crate::protocol::{DaemonRecord, ObjectContent, ObjectKind, StoredObject, WriteAnswer};
 use crate::state::GatewayState;
 
-/// How long the daemons of a first start are waited for, which all come at once.
+/// How long to wait at the first start of a site for the other gateways, which all start at once.
 const FIRST_START_DELAY: Duration = Duration::from_millis(700);
 
-/// The longest random wait, which sets daemons apart.
+/// Maximum random delay that spreads the gateways over time.
 const MAX_JITTER_MS: u64 = 200;
 
-/// Adds this daemon to the list of daemons. One that was started again learns the others from a recent list; at a
-/// first start they are not listed yet, and are learnt from seeds, which read the store. False where the store did
-/// not answer; the others are then known from seeds, and this one to those it asks.
+/// Adds this gateway's entry to the store. A restarted gateway learns the others from a list that may be seconds old; at the
+/// first start of a site they are not listed yet, and are learned from the seeds, which read the store. Returns false if the
+/// store did not answer; then the others are known from the seeds, and this one only to those it contacts.
 pub async fn join_daemons(state: &Rc<GatewayState>) -> bool {
     let listing = match state.settings.is_first_start {
         true => OwnListing::Unlisted,
@@ -43,24 +43,24 @@
     true
 }
 
-/// What the list of daemons says of this one.
+/// This gateway's entry in a list of gateways.
 enum OwnListing {
-    /// It is there, as it is now.
+    /// The entry is there and up to date.
     Current,
-    /// Another daemon stands under its name, there.
+    /// A different entry has this gateway's name, at this position.
     Different(StorePosition),
-    /// It is not there.
+    /// There is no such entry.
     Unlisted,
     /// The list could not be read.
     Unknown,
 }
 
-/// Learns the other daemons from a recent list.
+/// Learns the other gateways from a list that may be seconds old.
 async fn learn_others(state: &GatewayState) -> OwnListing {
     let objects = match list_recent(state, ObjectKind::Daemons).await {
         Ok(objects) => objects,
         Err(error) => {
-            log::debug!("list of daemons failed: {error}");
+            log::debug!("list of gateways failed: {error}");
             return OwnListing::Unknown;
         }
     };
@@ -75,7 +75,7 @@
     listing
 }
 
-/// Writes this daemon's record, in the place of the one at `expected`; true where it is there.
+/// Writes this gateway's entry in place of the one at `expected`; returns whether the entry is in the store.
 pub(super) async fn write_own_entry(state: &GatewayState, expected: Option<StorePosition>) -> bool {
     let is_there = try_write_own_entry(state, expected).await;
     if is_there {
@@ -101,17 +101,17 @@
     let name = own.name.clone();
     let content = ObjectContent::Daemon(own);
     let answer = write(state, ObjectKind::Daemons, &name, &content, expected).await;
-    log::debug!("joining the daemons: {answer:?}");
+    log::debug!("write of own entry {name}: {answer:?}");
     answer
 }
 
-/// Whether the others ask this daemon first, which therefore must not wait for them.
+/// Whether this gateway is a seed: the others contact it first, so it must not wait for them.
 fn is_seed(state: &GatewayState) -> bool {
     let own = state.settings.listen.peers.ip();
     state.settings.seeds.iter().any(|seed| seed.ip() == own)
 }
 
-/// Joins once the store answers.
+/// Writes this gateway's entry as soon as the store answers, unless it is listed by then.
 async fn retry_joining(state: Rc<GatewayState>) {
     let own = state.peers.own().name.clone();
     loop {
--- a/crates/gateway/src/store/known_namings.rs
+++ b/crates/gateway/src/store/known_namings.rs
@@ -1,7 +1,7 @@
-//! Up to when all namings of weights are known here.
+//! Tracks the time up to which all namings of weights are known here.
 //!
-//! A list shows the newest version of a model only. Where it is not the one after the newest that is known here, another
-//! one was named in between, at any moment since all namings were known.
+//! A list shows only the newest version of each model. If that is not the successor of the newest version known here, another
+//! version was named in between, at any time after the one up to which all namings are known.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -11,32 +11,32 @@
 use super::position::StorePosition;
 use super::progress::StoreProgress;
 
-/// How much later than the store a daemon that reads it may know of a naming: the store's revision is read each 0.9 s, and
-/// 0.5 s later a watch that has not told of it is asked again.
+/// Maximum delay after which a gateway that reads the store knows of a naming: the store's revision is read each 0.9 s, and
+/// up to 0.5 s later a watch that has not reported the change is repeated.
 const READER_LAG: Duration = Duration::from_millis(1400);
 
-/// Up to when all namings of weights are known.
+/// The time up to which all namings of weights are known.
 #[derive(Debug, Default)]
 pub struct KnownNamings {
-    /// Up to here they were read from the store.
+    /// The position up to which all namings were read from the store.
     read: Cell<StorePosition>,
-    /// Up to here another daemon told them.
+    /// The time up to which another gateway has reported all namings.
     told: Cell<Option<Instant>>,
 }
 
 impl KnownNamings {
-    /// Takes in that all were read from the store up to `position`.
+    /// Records that all namings up to `position` were read from the store.
     pub fn note_read(&self, position: StorePosition) {
         self.read.set(self.read.get().max(position));
     }
 
-    /// Takes in that another daemon has told all that a reader of the store knew at `moment`.
+    /// Records that another gateway has reported all namings that a reader of the store knew at `moment`.
     pub fn note_told(&self, moment: Instant) {
         let moment = moment.checked_sub(READER_LAG);
         self.told.set(self.told.get().max(moment));
     }
 
-    /// The latest moment up to which all are known, where `progress` tells how far the store had come when.
+    /// The latest time up to which all namings are known; `progress` maps store positions to times.
     pub fn until(&self, progress: &StoreProgress) -> Option<Instant> {
         let read = progress.last_read_up_to(self.read.get());
         read.max(self.told.get())
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -17,7 +17,7 @@
 
 pub use client::{CALL_TIMEOUT, StoreError, list_all, list_recent, watch, write};
 pub use era::{
-    AnswerEra, EraVerdict, LOWER_ERA_REJECTION_WINDOW, StoreEraTracker, adopt_peer_era, read_era,
+    AnswerEra, EraVerdict, LOWER_ERA_REJECTION_WINDOW, StoreEraTracker, adopt_peer_era, judge_era,
 };
 pub use follow::apply_handed_on_configuration;
 pub use follow_weights::{initial_weights_age, name_weights, note_shown_weights, suspect_weights};
@@ -34,7 +34,7 @@
 use crate::protocol::ObjectKind;
 use crate::state::GatewayState;
 
-/// Starts the tasks that follow the store, on the present thread.
+/// Starts the tasks that follow the store, on the current thread.
 pub fn spawn_all(state: &Rc<GatewayState>) {
     ntex::rt::spawn(configuration_reader::run(Rc::clone(state)));
     ntex::rt::spawn(quarantine::run(Rc::clone(state)));
--- a/crates/gateway/src/store/outage.rs
+++ b/crates/gateway/src/store/outage.rs
@@ -1,8 +1,7 @@
-//! The pause between calls to a store that does not answer, and its end.
+//! Backoff between calls to a store that does not answer, and the end of that backoff.
 //!
-//! Every daemon calls a store that is down, and each call is paid for, so the pauses grow. The first daemon
-//! whose call succeeds announces that to all others. That ends their pauses, and repeats calls that were sent
-//! before and still wait for an answer.
+//! All gateways keep calling a store that is down, and each call is charged for, so the delays grow. The first gateway whose
+//! call succeeds announces that to all others, which ends their delays and repeats their calls that are still pending.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,36 +9,36 @@
 use driftspring_clock::Instant;
 use tokio::sync::Notify;
 
-/// The pause after the first call that failed; each further one in a row twice as long.
+/// Delay after the first failed call; it doubles with each further consecutive failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// The longest time from the beginning of one call to that of the next: within it a daemon that the others can't
-/// reach finds out for itself, with a second left to catch up before it is in touch again (`contactMs`, 3 s).
+/// Maximum time from the start of one call to the start of the next: a gateway that the others can't reach finds out by itself
+/// that the store is back, with a second left to catch up before it must be in touch again (`contactMs`, 3 s).
 const MAX_BACKOFF: Duration = Duration::from_millis(1800);
 
-/// The pause after so many calls in a row that failed.
+/// The delay after `failures` consecutive failed calls.
 pub fn backoff_after(failures: u32) -> Duration {
     let doublings = failures.saturating_sub(1).min(8);
     MIN_BACKOFF.saturating_mul(1 << doublings).min(MAX_BACKOFF)
 }
 
-/// The pause after so many calls in a row that failed, the last of which `took` so long. The time that a call
-/// hung is part of the pause: a store that came back just after the call began never answering it.
+/// The delay after `failures` consecutive failed calls, the last of which took `took`. That time is part of the delay: a store
+/// that came back just after the call started never answers it.
 pub fn backoff_after_call(failures: u32, took: Duration) -> Duration {
     backoff_after(failures)
         .saturating_sub(took)
         .max(MIN_BACKOFF)
 }
 
-/// How long a task waits that follows objects, while the reader of the configuration finds the store down: that
-/// one alone looks whether it answering again, which ends this pause.
+/// Delay of the tasks that follow objects while the reader of the configuration finds the store down: only that reader probes
+/// whether the store answers again, which ends this delay.
 const FOLLOWER_BACKOFF: Duration = Duration::from_secs(4);
 
-/// For how long after a call that failed an answer of the store may be lost that still is waited for: a little
-/// longer than a watch waits (16.5 s).
+/// How long after a failed call a pending answer of the store may turn out to be lost: a little longer than a watch waits
+/// (16.5 s).
 const LOST_ANSWER_WINDOW: Duration = Duration::from_secs(18);
 
-/// Whether the store is down, and the tasks that wait for it.
+/// Whether the store is down, with notifications for the tasks that wait for it.
 #[derive(Debug, Default)]
 pub struct StoreOutage {
     is_active: Cell<bool>,
@@ -50,12 +49,12 @@
 }
 
 impl StoreOutage {
-    /// The configuration could not be read.
+    /// Records that the configuration could not be read.
     pub fn begin(&self) {
         self.is_active.set(true);
     }
 
-    /// The configuration was read, or another daemon announced that the store answering: every wait ends.
+    /// Records that the configuration was read or that another gateway announced the store's return; every wait ends.
     pub fn end(&self) {
         if self.is_active.replace(false) {
             self.ended.notify_waiters();
@@ -63,49 +62,49 @@
         self.answering.notify_waiters();
     }
 
-    /// Whether the last read of the configuration failed, and nobody has announced since that the store answering.
+    /// Whether the last read of the configuration failed and no gateway has announced the store's return since.
     pub fn is_active(&self) -> bool {
         self.is_active.get()
     }
 
-    /// When the store was last seen to be down, where this daemon has seen no end of that yet: as the last call
-    /// began that failed. Such a call may hang on after the store is back, and prove nothing later.
+    /// When the store was last seen to be down, if this gateway has not seen the end of the outage yet: the start of the last
+    /// failed call. Such a call may stay pending after the store is back, so its end proves nothing.
     pub fn last_seen_down_at(&self) -> Option<Instant> {
         let failed_call_began = self.failed_call_began.get();
         failed_call_began.filter(|_| self.is_active.get())
     }
 
-    /// Waits until an outage ends that this daemon has seen itself. What was asked before and still waits may
-    /// never be answered: a connection on which an answer was lost says nothing more.
+    /// Waits until an outage ends that this gateway has seen itself. Calls that are still pending from before may never be
+    /// answered: a connection on which an answer was lost delivers nothing more.
     pub async fn ended(&self) {
         self.ended.notified().await;
     }
 
-    /// Takes in that a call failed which began at `began`.
+    /// Records the failure of a call that started at `began`.
     pub fn note_failure(&self, began: Instant) {
         let latest = self.failed_call_began.get().max(Some(began));
         self.failed_call_began.set(latest);
     }
 
-    /// When the last list began that the store failed this daemon itself. Other calls say less: a watch may be cut
-    /// at any time, and a store that is there refuses calls beyond its rate.
+    /// When this gateway's own last failed list started. Other failures are weaker evidence: a watch may be cut off at any time,
+    /// and a store that is up refuses calls beyond its rate.
     pub fn list_failed_at(&self) -> Option<Instant> {
         self.failed_list_began.get()
     }
 
-    /// Takes in that a list failed which began at `began`.
+    /// Records the failure of a list that started at `began`.
     pub fn note_failed_list(&self, began: Instant) {
         let latest = self.failed_list_began.get().max(Some(began));
         self.failed_list_began.set(latest);
     }
 
-    /// Whether a call failed so lately that answering may be lost which are still waited for.
+    /// Whether a call failed so recently that pending answers may be lost.
     pub fn had_recent_failure(&self, now: Instant) -> bool {
         let began = self.failed_call_began.get();
         began.is_some_and(|began| now.saturating_duration_since(began) < LOST_ANSWER_WINDOW)
     }
 
-    /// The pause of a task that follows objects after so many lists in a row that failed.
+    /// The delay of a task that follows objects after `failures` consecutive failed lists.
     pub fn follower_backoff(&self, failures: u32) -> Duration {
         match self.is_active.get() {
             true => FOLLOWER_BACKOFF,
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Waits for a while, or until the store answering again.
+    /// Waits for `pause`, or until the store answers again.
     pub async fn wait(&self, pause: Duration) {
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
@@ -121,13 +120,13 @@
         }
     }
 
-    /// Waits for as long as a task that follows objects, or until the store answering again.
+    /// Waits for the delay of a task that follows objects during an outage, or until the store answers again.
     pub async fn wait_as_follower(&self) {
         self.wait(FOLLOWER_BACKOFF).await;
     }
 
-    /// Makes a call, and makes it anew where the store answering again meanwhile: the first one may have been
-    /// sent to a store that was down, which never answering it. Returns when the one began whose result it is.
+    /// Makes a call, and repeats it if the store's return is announced meanwhile: the first call may have been sent while the
+    /// store was down, and may never be answered. Returns the start of the call that gave the result.
     pub async fn call<R, F: Future<Output = R>>(&self, call: impl Fn() -> F) -> (Instant, R) {
         let began = Instant::now();
         tokio::select! {
--- a/crates/gateway/src/store/own_entry.rs
+++ b/crates/gateway/src/store/own_entry.rs
@@ -1,9 +1,9 @@
-//! Keeps this daemon's entry in a store that comes back from copies.
+//! Restores this gateway's entry in a store that was restored from a copy.
 //!
-//! A copy lacks the entries that were written after it was made, and only the daemons themselves know theirs. Each writes its
-//! own again, and only where it is young: a copy is some seconds old. One call tells whether it is there and writes it where
-//! it is not. A daemon that left long ago and comes back with a copy is one that doesn't answer, as one that crashed; the
-//! store keeps the entries of those too.
+//! A copy lacks the entries written after it was made, and only the gateways themselves know theirs. Each gateway rewrites its
+//! own entry, but only if the entry is recent, since a copy is some seconds old. One conditional write checks for the entry and
+//! adds it if it is missing. A gateway that left long ago and reappears with a copy is treated like a crashed one, which does
+//! not answer either; the store keeps the entries of those too.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,35 +12,35 @@
 use crate::peers::directory::name_digest;
 use crate::state::GatewayState;
 
-/// Entries that are older than this are in every copy: these are some seconds old.
+/// Maximum age of a copy of the store: entries older than this are in every copy, since copies are some seconds old.
 pub const MAX_COPY_AGE: Duration = Duration::from_secs(60);
 
-/// How long after the store's return the entries of daemons are awaited that its list lacks: until then these have written
-/// them again. A daemon hears of the return from others within 0.5 s (the pause between two questions), and has
-/// [`MAX_WRITE_SPREAD`] and one more try.
+/// How long after the restore of the store gateways missing from its list are still considered present: by then they have
+/// rewritten their entries. A gateway learns of the restore from others within 0.5 s (the interval of its queries), and then
+/// needs up to [`MAX_WRITE_SPREAD`] and one retry.
 pub const MISSING_ENTRY_GRACE: Duration = Duration::from_secs(4);
 
-/// The time that each daemon adds to that over which they write: 200 writes a second, half of what a store of a small site
-/// allows (400).
+/// The time by which each gateway extends the period over which the entries are rewritten: 200 writes a second, half of what
+/// the store of a small site allows (400).
 const WRITE_SPREAD_PER_DAEMON: Duration = Duration::from_millis(5);
 
-/// The longest such time. All are to be there again 2 s after the return.
+/// Maximum length of that period. All entries are to be back 2 s after the restore.
 pub const MAX_WRITE_SPREAD: Duration = Duration::from_millis(1200);
 
-/// The pause between two tries, and between two eras for which the entry is looked after.
+/// Delay between two attempts, and after a successful one.
 const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Whether an entry that was written so long ago may be missing in the copy from which a store came back.
+/// Whether an entry that was written so long ago may be missing in the copy from which the store was restored.
 pub fn may_be_missing(written_ago: Duration) -> bool {
     written_ago < MAX_COPY_AGE
 }
 
-/// Whether a daemon that the store's list lacks is known on, where the store changed its era so long ago.
+/// Whether a gateway missing from the store's list is still considered present, given how long ago the store changed its era.
 pub fn is_missing_entry_tolerated(era_changed_ago: Option<Duration>) -> bool {
     era_changed_ago.is_some_and(|ago| ago < MISSING_ENTRY_GRACE)
 }
 
-/// How long after it has heard of the new era the daemon of this name writes its entry, one of so many daemons.
+/// The delay between learning of a new era and rewriting the entry, for the gateway `name` among `daemons` gateways.
 pub fn write_delay(name: &str, daemons: usize) -> Duration {
     let daemons = u32::try_from(daemons).unwrap_or(u32::MAX);
     let spread = WRITE_SPREAD_PER_DAEMON
@@ -50,7 +50,7 @@
     spread.mul_f64(place)
 }
 
-/// Writes the entry again after each return of the store that may lack it, for ever.
+/// Rewrites the entry after each restore of the store that may have lost it, until the process ends.
 pub(super) async fn run(state: Rc<GatewayState>) {
     let mut changes = state.store_eras.changes();
     loop {
@@ -65,7 +65,7 @@
         while !write_own_entry(&state, None).await {
             tokio::time::sleep(RETRY_DELAY).await;
         }
-        // A store that names a later era in each answer is not called without a pause.
+        // Limits the rate of calls to a store that names a later era in each answer.
         tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/gateway/src/store/position.rs
+++ b/crates/gateway/src/store/position.rs
@@ -1,32 +1,33 @@
-//! Places in the store's history.
+//! Positions in the store's history.
 //!
-//! A store that comes back from a copy has lost its last changes and gives their revisions out again. It names the
-//! copy that answers by its era, which rises each time. So a place in its history is an era and a revision, and two
-//! revisions say which change came first only within one era.
+//! A store that is restored from a copy has lost its latest changes and assigns their revisions again. It identifies the copy
+//! that answers by its era, which increases with each restore. So a position consists of an era and a revision, and revisions
+//! order changes only within one era.
 
 use std::fmt;
 
 use crate::protocol::{ListPage, StoredObject, WatchPage, WriteAnswer};
 
-/// Which copy of the store answered; eras rise. A store that names none is always in the same, earliest one.
+/// Identifies the copy of the store that answered; eras increase. A store that names no era is always in the same, earliest
+/// one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct StoreEra(Option<u64>);
 
 impl StoreEra {
-    /// The era of a store that names none.
+    /// The era of a store that names no era.
     pub const UNNAMED: Self = Self(None);
 
-    /// The era of this number.
+    /// The era with this number.
     pub const fn named(number: u64) -> Self {
         Self(Some(number))
     }
 
-    /// The era that another daemon or an object of the store tells, if any.
+    /// The era with this number, as reported by another gateway or stored in an object; unnamed for `None`.
     pub const fn from_number(number: Option<u64>) -> Self {
         Self(number)
     }
 
-    /// Its number; none where the store names none.
+    /// The era's number; `None` if it is unnamed.
     pub const fn number(self) -> Option<u64> {
         self.0
     }
@@ -41,7 +42,7 @@
     }
 }
 
-/// A place in the store's history. Whatever has a later era is later, whatever its revision.
+/// A position in the store's history. Positions of a later era are later whatever their revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct StorePosition {
     /// The era.
@@ -51,7 +52,7 @@
 }
 
 impl StorePosition {
-    /// The place of `revision` in a store that names no era, or whose era is told apart from the revision.
+    /// The position of `revision` in a store that names no era, or whose era is reported separately.
     pub const fn unnamed(revision: u64) -> Self {
         Self {
             era: StoreEra::UNNAMED,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Whether the store reached it before `other`, as their revisions tell: nothing tells that of two eras.
+    /// Whether the store reached this position before `other` within the same era; false for different eras.
     pub fn is_before_in_era(self, other: Self) -> bool {
         self.era == other.era && self.revision < other.revision
     }
@@ -80,7 +81,7 @@
 }
 
 impl StoredObject {
-    /// The same as a store of `era` told it.
+    /// The same with its positions in `era`.
     pub fn in_era(mut self, era: StoreEra) -> Self {
         self.position = self.position.in_era(era);
         self
@@ -88,7 +89,7 @@
 }
 
 impl ListPage {
-    /// The same as a store of `era` told it.
+    /// The same with its positions in `era`.
     pub fn in_era(mut self, era: StoreEra) -> Self {
         self.position = self.position.in_era(era);
         for object in &mut self.items {
@@ -99,7 +100,7 @@
 }
 
 impl WatchPage {
-    /// The same as a store of `era` told it.
+    /// The same with its positions in `era`.
     pub fn in_era(mut self, era: StoreEra) -> Self {
         self.position = self.position.in_era(era);
         for event in &mut self.events {
@@ -110,7 +111,7 @@
 }
 
 impl WriteAnswer {
-    /// The same as a store of `era` told it.
+    /// The same with its positions in `era`.
     pub fn in_era(self, era: StoreEra) -> Self {
         match self {
             Self::Accepted(position) => Self::Accepted(position.in_era(era)),
--- a/crates/gateway/src/store/progress.rs
+++ b/crates/gateway/src/store/progress.rs
@@ -1,20 +1,20 @@
-//! How far the store had come when.
+//! Records which position the store had reached at which time.
 //!
-//! A change is heard of late where a watch was cut, its answer was lost, or another daemon has just begun to read
-//! the store. What counts from the change itself must not count from then. Each read tells the store's position:
-//! a change with a higher revision of the same era was made after that read began. Of a change of another era it says
-//! nothing: a copy also brings back changes that were made long before its era.
+//! A change is learned late if a watch was cut off, its answer was lost, or another gateway has just started to read the store.
+//! Deadlines that count from the change must not count from that later time. Each read returns the store's position: a change
+//! with a higher revision of the same era was made after that read started. Nothing follows for a change of another era, since
+//! a copy also contains changes that were made long before its era.
 
 use driftspring_clock::Instant;
 use std::collections::VecDeque;
 
 use super::position::{StoreEra, StorePosition};
 
-/// Positions that are remembered, each with the latest read that told it: those of the last half minute where the store
-/// changes about once a second.
+/// Maximum number of positions that are remembered, each with the latest read that returned it: those of the last half minute
+/// if the store changes about once a second.
 const MAX_READS: usize = 32;
 
-/// What reads of the store have told, older ones first.
+/// The recent reads of the store, older ones first.
 #[derive(Debug, Default)]
 pub struct StoreProgress {
     reads: VecDeque<Read>,
@@ -24,14 +24,14 @@
 #[derive(Debug, Clone, Copy)]
 struct Read {
     began: Instant,
-    /// The store's position when it was answered.
+    /// The store's position when it answered.
     position: StorePosition,
 }
 
 impl StoreProgress {
-    /// Takes in that a read that began at `began` told the store's position.
+    /// Records the position returned by a read that started at `began`.
     pub fn note(&mut self, began: Instant, position: StorePosition) {
-        // One position takes one place: a daemon is told of one read many times, which must not drive out the others.
+        // Each position is stored once: a gateway hears of the same read many times, which must not displace other reads.
         let known = self.reads.iter().position(|read| read.position == position);
         if let Some(known) = known {
             if self.reads[known].began >= began {
@@ -46,14 +46,14 @@
         }
     }
 
-    /// When the last read began that told a position of an earlier era than `era`.
+    /// The start of the last read that returned a position of an earlier era than `era`.
     pub fn last_read_before_era(&self, era: StoreEra) -> Option<Instant> {
         let mut reads = self.reads.iter().rev();
         let last = reads.find(|read| read.position.era < era)?;
         Some(last.began)
     }
 
-    /// The latest moment at which the store is known not to have gone beyond `position`; nothing where none is known.
+    /// The latest time at which the store is known not to have advanced beyond `position`, if any.
     pub fn last_read_up_to(&self, position: StorePosition) -> Option<Instant> {
         let mut reads = self.reads.iter().rev();
         let last = reads
@@ -61,7 +61,7 @@
         Some(last.began)
     }
 
-    /// The latest moment at which the store is known not to have reached `position`; nothing where none is known.
+    /// The latest time at which the store is known not to have reached `position`, if any.
     pub fn last_read_before(&self, position: StorePosition) -> Option<Instant> {
         let before = self.reads.iter().rev();
         let last = before
--- a/crates/gateway/src/store/quarantine.rs
+++ b/crates/gateway/src/store/quarantine.rs
@@ -1,6 +1,6 @@
-//! Keeps the records of requests that end replicas in the store, so that they outlive every daemon.
+//! Stores the records of requests that crash replicas, so that they survive the restart of every gateway.
 //!
-//! One object a request, named by its fingerprint, from its second strike on. An operator lists them there, and releases a
+//! From its second strike on, each request has an object named by its fingerprint. Operators list these objects, and release a
 //! request by deleting its object.
 
 use std::collections::HashMap;
@@ -27,26 +27,26 @@
 use crate::state::GatewayState;
 use crate::upstream::{self, Pool};
 
-/// The time between two tries to write a record or to remove some, doubled after each one in a row that failed.
+/// Base delay before the retry of a write or of the deletions; it doubles with each consecutive failure.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(1000);
 
-/// How often it is doubled: a store that is down for long is called each 8 s by three daemons for each record.
+/// How often the delay doubles: a store that stays down is called every 8 s by three gateways for each record.
 const MAX_RETRY_DOUBLINGS: u32 = 3;
 
-/// The time after which old records are looked for while nothing else is to be done.
+/// Interval of the check for expired records while nothing else is to be done.
 const IDLE_INTERVAL: Duration = Duration::from_secs(60);
 
-/// How far apart strikes are taken to have been that are known from the store, which tells no times.
+/// Assumed interval between strikes read from the store, which records no times.
 const ASSUMED_STRIKE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An object of the quarantine.
+/// A store object with the record of a request.
 pub type QuarantineObject = StoredObject;
 
-/// Lists the records of requests that ended replicas, for an operator.
+/// Lists the records of requests that crashed replicas, for an operator.
 ///
 /// # Errors
 ///
-/// The store did not answer, refused, or its answer can't be read.
+/// The store did not answer, refused the call, or its answer can't be parsed.
 pub async fn list_quarantined(
     platform: &dyn Platform,
     store: SocketAddr,
@@ -71,11 +71,11 @@
     }
 }
 
-/// Deletes one of these objects, which releases its request at every daemon.
+/// Deletes one of these objects, which releases its request at every gateway.
 ///
 /// # Errors
 ///
-/// The store did not answer, refused, or the object has changed.
+/// The store did not answer, refused the call, or the object has changed.
 pub async fn delete_quarantined(
     platform: &dyn Platform,
     store: SocketAddr,
@@ -93,7 +93,7 @@
     }
 }
 
-/// The backoff between two tries of the same call that failed. Other news don't end it: while replicas end they come many times a
+/// The delay before a failed call is retried. Other updates don't end it early: while replicas crash, they arrive many times a
 /// second.
 #[derive(Debug, Clone, Copy, Default)]
 struct Backoff {
@@ -116,20 +116,20 @@
     }
 }
 
-/// A record that the store does not run as it is.
+/// A record whose current state is not in the store.
 #[derive(Debug, Clone, Copy)]
 struct Unstored {
     since: Duration,
     backoff: Backoff,
 }
 
-/// Keeps the records in the store, for ever.
+/// Writes the records to the store until the process ends.
 pub(super) async fn run(state: Rc<GatewayState>) {
     let mut unstored: HashMap<Fingerprint, Unstored> = HashMap::new();
     let mut removal_backoff = Backoff::default();
     let mut pause = IDLE_INTERVAL;
     loop {
-        // Ends early when there is something to run.
+        // Ends early when there is something to store.
         let _ = tokio::time::timeout(pause, state.quarantine.kept.notified()).await;
         forget_old(&state);
         if removal_backoff.has_elapsed(state.quarantine.now()) {
@@ -150,7 +150,7 @@
     }
 }
 
-/// Forgets old records; what the store keeps of them is removed by the first of the daemons that count for them.
+/// Drops expired records; their objects are deleted by the first of the gateways responsible for the record.
 fn forget_old(state: &GatewayState) {
     let directory = state.peers.directory();
     for removal in state.quarantine.forget_old() {
@@ -160,7 +160,7 @@
     }
 }
 
-/// Brings the list of what the store does not run yet up to date; those that it is this daemon's turn to write.
+/// Updates the list of records that are not in the store yet; returns those that it is this gateway's turn to write.
 fn note_unstored(
     state: &GatewayState,
     unstored: &mut HashMap<Fingerprint, Unstored>,
@@ -191,7 +191,7 @@
     due.map(|(fingerprint, _)| *fingerprint).collect()
 }
 
-/// Writes the record of one request, in the place of an earlier one; false where it is not known to be kept.
+/// Writes the record of one request in place of an earlier one; returns false unless the record is known to be stored.
 async fn store_one(state: &GatewayState, fingerprint: Fingerprint) -> bool {
     let record = state
         .quarantine
@@ -236,7 +236,7 @@
     }
 }
 
-/// Takes in the object that is in the place of a record to be written; whether nothing is left to be written.
+/// Handles an object that exists in place of a record to be written; returns whether nothing is left to be written.
 fn is_superseded_by(
     state: &GatewayState,
     fingerprint: Fingerprint,
@@ -264,7 +264,7 @@
     }
 }
 
-/// What the store keeps of a record: the strikes that count whole.
+/// The part of a record that is stored: only the strikes that count fully, which excludes coincident ones.
 fn record_to_store(record: &Record) -> QuarantineRecord {
     let counted = record.strikes.iter().filter(|strike| !strike.is_coincident);
     QuarantineRecord {
@@ -277,7 +277,7 @@
     }
 }
 
-/// Removes the objects of requests that nothing counts against any more; false where some could not be.
+/// Deletes the objects of requests that have no strikes left; returns false if a deletion failed.
 async fn remove_all(state: &GatewayState) -> bool {
     let mut has_removed_all = true;
     for removal in state.quarantine.take_removals() {
@@ -298,7 +298,7 @@
     has_removed_all
 }
 
-/// Takes in a record as the store keeps it.
+/// Applies a record read from the store.
 pub(super) fn apply_record(
     state: &GatewayState,
     name: &str,
@@ -317,7 +317,8 @@
         known.is_none() && state.quarantine.read(ledger)
     };
     if is_cleared || is_forgotten() {
-        // The daemon that cleared it ended before it was removed, or the store came back from a copy that still has it.
+        // The gateway that cleared the record stopped before the object was deleted, or the store was restored from a copy
+        // that still has it.
         log_event!(
             gateway::QUARANTINE_REMOVED_AGAIN,
             "fingerprint={fingerprint} position={position} generation={} known={known:?}",
@@ -362,14 +363,14 @@
     }
 }
 
-/// Takes in that an object was deleted.
+/// Releases the request whose object was deleted.
 pub(super) fn apply_deletion(state: &GatewayState, name: &str) {
     if let Some(fingerprint) = fingerprint_of(state, name) {
         state.quarantine.release(fingerprint);
     }
 }
 
-/// Takes in which objects there are: those that are gone were deleted while nobody watched.
+/// Applies a complete list of objects: those missing from it were deleted while no watch was active.
 pub(super) fn apply_list(state: &GatewayState, objects: &[StoredObject], position: StorePosition) {
     let listed = objects
         .iter()
@@ -378,7 +379,7 @@
     state.quarantine.take_list(&listed, position);
 }
 
-/// The request that an object is about; nothing where another writer named it.
+/// The fingerprint in an object's name; `None` if the name is not a fingerprint, as for objects of other writers.
 fn fingerprint_of(state: &GatewayState, name: &str) -> Option<Fingerprint> {
     let fingerprint: Result<Fingerprint, _> = name.parse();
     let fingerprint = fingerprint.inspect_err(|error| {
--- a/crates/gateway/src/store/rejections.rs
+++ b/crates/gateway/src/store/rejections.rs
@@ -1,4 +1,4 @@
-//! What others say that can't be read: counted each time, logged once each.
+//! Invalid input from others: each occurrence is counted, but each kind of error per object is logged only once.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -11,28 +11,28 @@
 use crate::metrics::{GatewayMetrics, RejectedLabels};
 use crate::protocol::{ObjectKind, Unreadable};
 
-/// Objects with their reasons that are remembered as logged, 8 bytes each; further ones are only counted.
+/// Maximum number of logged errors that are remembered, 8 bytes each; further ones are only counted.
 const MAX_LOGGED: usize = 4096;
 
-/// Bytes of a name or a cause that are logged: another writer may choose both.
+/// Maximum number of bytes of a name or an error that are logged, since another writer may choose both.
 const MAX_LOGGED_BYTES: usize = 200;
 
-/// What can't be read.
+/// The source of invalid input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejected {
-    /// An object of the store.
+    /// A store object of this kind.
     Object(ObjectKind),
-    /// A replica's report of itself.
+    /// A replica's status report.
     Report,
-    /// What a store of cached prompt work says that it keeps.
+    /// A page of the prompt cache of a replica or KV store.
     CachePage,
-    /// The era that an answer of the store names, or does not name.
+    /// The era of an answer of the store, also if it is missing.
     StoreEra,
-    /// A configuration that another daemon handed on.
+    /// A configuration that another gateway handed on.
     HandedConfiguration,
-    /// What a replica says of itself in the head of an answer.
+    /// A notice in the headers of a replica's answer.
     AnswerHead,
-    /// What another daemon, or somebody else, sent here.
+    /// A datagram from another gateway or from an unknown sender.
     Datagram,
 }
 
@@ -45,14 +45,14 @@
     }
 }
 
-/// What was logged.
+/// Counts invalid input and remembers which errors were logged.
 #[derive(Debug, Default)]
 pub struct Rejections {
     logged: RefCell<HashSet<u64>>,
 }
 
 impl Rejections {
-    /// Takes in that what goes by this name can't be read.
+    /// Counts an invalid input, and logs it if this error was not logged before for the same object.
     pub fn note(
         &self,
         kind: Rejected,
@@ -83,7 +83,7 @@
     }
 }
 
-/// The first bytes of a text, whole characters only.
+/// Truncates a text to [`MAX_LOGGED_BYTES`] at a character boundary.
 fn truncated(text: &str) -> &str {
     &text[..text.floor_char_boundary(MAX_LOGGED_BYTES)]
 }
--- a/crates/gateway/src/weights.rs
+++ b/crates/gateway/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weights that the operator wants, and since when.
+//! The versions of weights that the operator wants, and since when.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,59 +7,60 @@
 
 use crate::protocol::ModelVersion;
 
-/// Versions of one model whose age is remembered; older ones count as wanted since the oldest of these.
+/// Maximum number of versions per model whose age is remembered; older ones count as wanted since the oldest of these.
 const MAX_VERSIONS: usize = 16;
 
-/// How long before the newest version an older one must have been followed to be forgotten; well over the
-/// time within which all replicas must have new weights.
+/// A version is dropped if its successor was named this long before the newest version; well over the time within which all
+/// replicas must have new weights.
 const VERSION_RETENTION: Duration = Duration::from_secs(60);
 
-/// How much sooner than allowed no request is sent to older weights, where no longer wait there is expected.
+/// Minimum time before the deadline at which requests are no longer sent to older weights, if no longer wait is expected there.
 const MIN_SENDING_MARGIN: Duration = Duration::from_millis(1500);
 
-/// The same where the longest waits are expected, as a part of the time allowed: replicas with older weights have
-/// to bear the traffic while others load, and a request that does wait so long is withdrawn.
+/// Maximum of that time, as a share of the deadline: replicas with older weights have to carry the traffic while others load,
+/// and a request that does wait too long is withdrawn.
 const MAX_SENDING_MARGIN_RATIO: f64 = 0.5;
 
-/// How much sooner than allowed a request that waits at a replica with older weights is withdrawn: the close
-/// of its connection has to reach the replica, over a link that may lose a packet (resent after 200 ms).
+/// Time before the deadline at which a request queued at a replica with older weights is withdrawn: the close of its
+/// connection has to reach the replica, over a link that may lose a packet (retransmitted after 200 ms).
 const WITHDRAWAL_MARGIN: Duration = Duration::from_millis(400);
 
-/// How soon before the bound a request that is sent to older weights bears it as its deadline, also where no wait is expected:
-/// a fourth more than the longest wait that was seen at a replica of which nothing was known (1.97 s, operator's record).
+/// A request sent to older weights within this time before the weights' deadline carries that deadline as its own, also if no
+/// wait is expected: a quarter more than the longest wait observed at a replica without an estimate (1.97 s, operator's
+/// record).
 const MIN_DEADLINE_WINDOW: Duration = Duration::from_millis(2500);
 
-/// The same as a multiple of the wait that is expected: few requests wait longer than that.
+/// The same time as a multiple of the expected wait: few requests wait longer than that.
 const EXPECTED_WAIT_FACTOR: u32 = 2;
 
-/// How much sooner than the bound such a deadline passes: on its way the request may wait for a processor whose share is
-/// spent (a tenth of a second, operator's pages).
+/// How much earlier than the weights' deadline such a request's deadline is: on its way the request may be delayed by CPU
+/// throttling (a tenth of a second, operator's pages).
 const DEADLINE_MARGIN: Duration = Duration::from_millis(100);
 
-/// Since when a version is wanted.
+/// The time since which a version is wanted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Since {
-    /// It was versions at this moment, or later.
+    /// The version was named at this time or later.
     Known(Instant),
-    /// It was versions at an unknown time before this daemon's start, and counts from this moment until somebody
-    /// tells when it was.
+    /// The version was named at an unknown time before this gateway's start; it counts from this time until another gateway
+    /// reports the known time.
     Assumed(Instant),
 }
 
 impl Since {
-    /// The moment from which it counts.
+    /// The time from which the version counts.
     pub fn moment(self) -> Instant {
         match self {
             Self::Known(moment) | Self::Assumed(moment) => moment,
         }
     }
 
-    /// Whether the time is unknown.
+    /// Whether the time of the naming is unknown.
     pub fn is_assumed(self) -> bool {
         matches!(self, Self::Assumed(_))
     }
 
-    /// The same as of an earlier moment, if `moment` is one.
+    /// The same, with the time limited to `moment`.
     fn no_later_than(self, moment: Instant) -> Self {
         match self {
             Self::Known(known) => Self::Known(known.min(moment)),
@@ -83,10 +84,10 @@
 
 /// The wanted weights of all models.
 ///
-/// Each version counts from the time it was versions: where one is followed by the next before it is
-/// everywhere, replicas with still older weights are out of use by the time of the first.
+/// Each version counts from the time it was named: if the next one is named before all replicas have the first, replicas with
+/// weights older than the first still go out of use by the deadline of the first.
 ///
-/// While the store is down nobody can be ordered to load anything, so that time does not count.
+/// While the store is down, no replica can be ordered to load weights, so that time does not count.
 #[derive(Debug, Default)]
 pub struct WantedWeights {
     by_model: HashMap<String, Vec<WantedVersion>>,
@@ -94,9 +95,8 @@
 }
 
 impl WantedWeights {
-    /// Takes in that `weights` are wanted since `since`; true where they are the newest. What is known of a
-    /// version stays, and takes the place of what was assumed; one that was passed over, since a newer one was
-    /// told first, takes its place.
+    /// Records that `weights` are wanted since `since`; returns whether they are new and the newest. A known time is kept, and
+    /// replaces an assumed one. A version that is reported after a newer one is inserted in order.
     pub fn add(&mut self, weights: &ModelVersion, since: Since) -> bool {
         let versions = self.by_model.entry(weights.model.clone()).or_default();
         let place = versions.partition_point(|known| known.version < weights.version);
@@ -126,21 +126,21 @@
         versions.last().map(|last| last.version)
     }
 
-    /// The oldest version newer than `version` that is remembered.
+    /// The oldest remembered version that is newer than `version`.
     pub fn next_after(&self, model: &str, version: u64) -> Option<u64> {
         let versions = self.by_model.get(model)?;
         let newer = versions.iter().find(|wanted| wanted.version > version)?;
         Some(newer.version)
     }
 
-    /// For how long a version newer than `version` has been wanted.
+    /// How long a version newer than `version` has been wanted.
     pub fn outdated_for(&self, model: &str, version: u64, now: Instant) -> Option<Duration> {
         let versions = self.by_model.get(model)?;
         let newer = versions.iter().find(|wanted| wanted.version > version)?;
         Some(now.saturating_duration_since(newer.moment()))
     }
 
-    /// The same, without the time up to which the store was last known to be down for all.
+    /// The same, not counting the time up to which the store was last known to be down for all.
     pub fn overdue_for(&self, model: &str, version: u64, now: Instant) -> Option<Duration> {
         let outdated_for = self.outdated_for(model, version, now)?;
         let since_down = self
@@ -149,8 +149,8 @@
         Some(since_down.map_or(outdated_for, |since| since.min(outdated_for)))
     }
 
-    /// Whether requests may still be sent to a replica with `version`, where `deadline` after the naming of a
-    /// newer one none may begin on it, and where they will wait for `expected_wait` before they begin.
+    /// Whether requests may still be sent to a replica with `version`. No request may start on it later than `deadline` after the
+    /// naming of a newer version; a request is expected to be queued there for `expected_wait`.
     pub fn may_serve(
         &self,
         model: &str,
@@ -166,8 +166,8 @@
             .is_none_or(|age| age + margin < deadline)
     }
 
-    /// How much longer requests may begin on `version`, where `deadline` after the naming of a newer one none may;
-    /// nothing where no newer one is versions.
+    /// How much longer requests may start on `version`, which ends `deadline` after the naming of a newer version; `None` if there
+    /// is no newer one.
     fn time_left(
         &self,
         model: &str,
@@ -179,9 +179,9 @@
         Some(deadline.saturating_sub(age))
     }
 
-    /// The time that a replica with `version` is given for a request, beside that of its caller, where the request may
-    /// wait there until that version is too old; nothing where it hardly will. A replica also ends what runs when its time is
-    /// over: with the bound on all requests, 1.9 in 100 more failed on days of overload (mean of nine plays).
+    /// The time limit, in addition to the caller's, of a request sent to a replica with `version`, if it may be queued there until
+    /// that version is too old; `None` if that is unlikely. Replicas also abort running requests when their time is over: with the
+    /// limit on all requests, 1.9 in 100 more failed on days of overload (mean of nine runs).
     pub fn replica_time_limit(
         &self,
         model: &str,
@@ -195,7 +195,7 @@
         (left <= longest_wait).then(|| left.saturating_sub(DEADLINE_MARGIN))
     }
 
-    /// How much longer a request may wait at a replica with `version` before it is withdrawn.
+    /// How much longer a request may be queued at a replica with `version` before it is withdrawn.
     pub fn waiting_time_left(
         &self,
         model: &str,
@@ -207,17 +207,17 @@
         Some(left.saturating_sub(WITHDRAWAL_MARGIN))
     }
 
-    /// Takes in that the store was down for all at `at`.
+    /// Records that the store was down for all gateways at `at`.
     pub fn note_store_down(&mut self, at: Instant) {
         self.down_until = self.down_until.max(Some(at));
     }
 
-    /// Up to when the store was last known to be down for all.
+    /// When the store was last known to be down for all gateways.
     pub fn last_store_down_at(&self) -> Option<Instant> {
         self.down_until
     }
 
-    /// The versions of every model that are remembered, with since when they are wanted, older ones first.
+    /// All remembered versions with the times since which they are wanted, older versions of a model first.
     pub fn all(&self) -> Vec<(ModelVersion, Since)> {
         let of_model = |model: &str, wanted: &WantedVersion| {
             let weights = ModelVersion {
@@ -233,7 +233,7 @@
     }
 }
 
-/// Forgets versions that were followed long before the newest was versions, and those beyond the bound.
+/// Drops versions whose successors were named long before the newest version, and the oldest one beyond the limit.
 fn prune_versions(versions: &mut Vec<WantedVersion>) {
     let Some(newest) = versions.last().map(|newest| newest.moment()) else {
         return;
@@ -244,7 +244,7 @@
         versions.remove(0);
     }
     if versions.len() > MAX_VERSIONS {
-        // The second oldest is taken for older than it is, which is the safe side.
+        // The second oldest version is assumed to be older than it is, which is the safe side.
         let oldest = versions.remove(0);
         versions[0].since = versions[0].since.no_later_than(oldest.moment());
     }
