--- a/crates/gateway-program/src/lib.rs
+++ b/crates/gateway-program/src/lib.rs
@@ -56,7 +56,7 @@
         }
         break;
     }
-    running.finish();
+    running.drain();
     logs.flush();
     // Not by a return: the HTTP library takes 0.3 s to end its servers, in which it keeps the connections and answers nothing. A
     // caller whose request comes now is told at once that nobody has read it.
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -187,7 +187,7 @@
         proof_age_ms: proof.map(|proof| to_ms_up(proof.began.elapsed())),
         view_age_ms: state.peers.view_age().map(to_ms_up),
         store_revision: position.map_or(0, |position| position.revision),
-        configuration: state.held_version(),
+        configuration: state.configuration_version(),
         weights: weights
             .into_iter()
             .map(|(weights, since)| to_wire(weights, since))
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -14,7 +14,7 @@
 use super::source::{Source, SourceChooser};
 use crate::currency::{NewerVersion, Proof};
 use crate::protocol::{LeaseRecord, ModelVersion};
-use crate::state::{GatewayState, JUST_STARTED};
+use crate::state::{GatewayState, STARTUP_WINDOW};
 use crate::store::{StoreEra, StorePosition, adopt_peer_era, name_weights, suspect_weights};
 use crate::suspected_weights::Suspicion;
 use crate::weights::Since;
@@ -50,16 +50,16 @@
 ) {
     let mut chooser = SourceChooser::default();
     loop {
-        state.take_reloaded();
+        state.apply_reloaded_settings();
         state.forget_lapsed();
         let directory = state.peers.directory();
-        state.budgets.set_daemons(directory.count);
+        state.retry_budgets.set_gateways(directory.count);
         state
             .quotas
             .set_groups(&directory.group_name, directory.other_groups.len() + 1);
         let group = state.peers.group(&directory);
         let others = directory.first_of_other_groups();
-        chooser.set_just_started(state.now() < JUST_STARTED);
+        chooser.set_just_started(state.now() < STARTUP_WINDOW);
         if state.store_outage.is_active() && !state.peers.is_reader.get() {
             chooser.on_store_failing(state.now(), &state.peers.own.name);
         }
@@ -125,7 +125,7 @@
 
 fn ask_interval(state: &GatewayState) -> Duration {
     let knows_nothing = state.peers.view_age().is_none();
-    if knows_nothing && state.now() < JUST_STARTED {
+    if knows_nothing && state.now() < STARTUP_WINDOW {
         return FIRST_ASK_INTERVAL;
     }
     match state.peers.is_leader.get() {
@@ -170,7 +170,7 @@
         content,
         quarantine: Some(records::digest(state)),
         store_era: state.store_eras.known().number(),
-        configuration: state.held_version(),
+        configuration: state.configuration_version(),
         takes_packed: true,
     });
     let sent_at = Instant::now();
@@ -244,7 +244,7 @@
     if let Some(moment) = moment_before(sent_at, answer.view_age_ms).filter(|_| knows_all) {
         state.peers.prove_told_view(moment, answer.view_reader);
     }
-    let known = state.held_version();
+    let known = state.configuration_version();
     if known < answer.configuration {
         let version = answer.configuration;
         match proof {
@@ -347,6 +347,6 @@
         state.apply(change);
     }
     if !answer.has_more {
-        state.registry_changed();
+        state.publish_changes();
     }
 }
--- a/crates/gateway/src/peers/configuration.rs
+++ b/crates/gateway/src/peers/configuration.rs
@@ -16,7 +16,7 @@
 use super::send::{send_to, send_to_all};
 use crate::configuration::Configuration;
 use crate::protocol::{Unreadable, UnreadableReason};
-use crate::state::{GatewayState, JUST_STARTED};
+use crate::state::{GatewayState, STARTUP_WINDOW};
 use crate::store::{Rejected, apply_handed_on_configuration};
 
 /// Answers that wait to be taken in: those of two questions.
@@ -102,7 +102,7 @@
     from: SocketAddr,
 ) {
     let configuration = state.configuration.load_full();
-    let is_settled = state.now() > JUST_STARTED;
+    let is_settled = state.now() > STARTUP_WINDOW;
     for told in answers(question, configuration.as_deref(), is_settled) {
         send_to(socket, &Message::TellConfiguration(told), from).await;
     }
@@ -124,7 +124,7 @@
     loop {
         state.currency.version_lost().await;
         let mut pause = FIRST_PAUSE;
-        while state.currency.is_outdated(state.held_version()) {
+        while state.currency.is_outdated(state.configuration_version()) {
             if let Err(error) = take_over(&state, &socket, &mut told).await {
                 note_failure(&state, &error);
                 tokio::time::sleep(pause).await;
@@ -193,8 +193,8 @@
     log_event!(
         gateway::CONFIGURATION_UNCONFIRMED,
         "version={} position={position} store_begin={} store_position={} asked={asked}",
-        state.held_version(),
-        state.store_era_begin.get(),
+        state.configuration_version(),
+        state.store_era_start.get(),
         state.store_position.get()
     );
     state.status.metrics.configuration_unconfirmed.set(1);
@@ -219,13 +219,13 @@
 
 /// Waits until this daemon holds the newest version that others told, or a read has shown that the store has lost that.
 async fn until_newest_known(state: &GatewayState) {
-    if state.held_version() >= state.currency.highest() {
+    if state.configuration_version() >= state.currency.highest() {
         return;
     }
     state.currency.request_proof();
     let known = async {
-        while state.held_version() < state.currency.highest()
-            && !state.currency.is_outdated(state.held_version())
+        while state.configuration_version() < state.currency.highest()
+            && !state.currency.is_outdated(state.configuration_version())
         {
             tokio::time::sleep(NEWER_POLL).await;
         }
@@ -304,7 +304,7 @@
         let Ok(Some(answer)) = answer else {
             return Ok(());
         };
-        if answer.version <= state.held_version() {
+        if answer.version <= state.configuration_version() {
             return Err(TransferError::NotNewer(answer.version));
         }
         let known = match pieces {
--- a/crates/gateway/src/peers/usage.rs
+++ b/crates/gateway/src/peers/usage.rs
@@ -59,7 +59,7 @@
 fn usage_of(state: &GatewayState, totals: &[WireTotals]) -> WireUsage {
     WireUsage {
         daemon: name_digest(&state.peers.own().name),
-        life: state.life,
+        life: state.incarnation,
         totals: totals.to_vec(),
         sent_ms: Some(state.quotas.now_ms(Instant::now())),
     }
@@ -78,7 +78,7 @@
     for totals in parts(&sums) {
         let usage = WireGroupUsage {
             group: state.peers.directory().group_name.clone(),
-            life: state.life,
+            life: state.incarnation,
             totals: totals.to_vec(),
             leader: name_digest(&state.peers.own().name),
             sent_ms: Some(state.quotas.now_ms(now)),
--- a/crates/gateway/src/permits/mod.rs
+++ b/crates/gateway/src/permits/mod.rs
@@ -80,7 +80,9 @@
         }
         Err(wait) => {
             metrics.permits_denied.inc();
-            replica.notices.pause_for_permits(wait, state.draw_share());
+            replica
+                .notices
+                .pause_for_permits(wait, state.random_fraction());
             Err(Denied { wait })
         }
     }
--- a/crates/gateway/src/pipeline/account.rs
+++ b/crates/gateway/src/pipeline/account.rs
@@ -9,24 +9,24 @@
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
 
-use super::pace::Pace;
+use super::pace::StreamTiming;
 use crate::configuration::Route;
 use crate::state::GatewayState;
 
 /// The books of one request. Where it is dropped before it was settled, the caller has left.
-pub struct Account {
+pub struct RequestTracker {
     state: Rc<GatewayState>,
     connection: Option<Id>,
-    started: Instant,
+    arrived_at: Instant,
     id: String,
     route: String,
-    pace: Pace,
-    is_settled: bool,
+    timing: StreamTiming,
+    is_finished: bool,
 }
 
-impl Account {
+impl RequestTracker {
     /// Opens the books.
-    pub fn open(state: &Rc<GatewayState>, connection: Option<&IoRef>, started: Instant) -> Self {
+    pub fn open(state: &Rc<GatewayState>, connection: Option<&IoRef>, arrived_at: Instant) -> Self {
         state.status.open_requests.fetch_add(1, Ordering::AcqRel);
         if let Some(connection) = connection {
             state.callers.request_began(connection);
@@ -34,21 +34,21 @@
         Self {
             state: Rc::clone(state),
             connection: connection.map(IoRef::id),
-            started,
+            arrived_at,
             id: String::new(),
             route: String::new(),
-            pace: Pace::default(),
-            is_settled: false,
+            timing: StreamTiming::default(),
+            is_finished: false,
         }
     }
 
     /// Takes in the request's id.
-    pub fn name(&mut self, id: &str) {
+    pub fn set_request_id(&mut self, id: &str) {
         self.id = id.to_owned();
     }
 
     /// Takes in the request's route.
-    pub fn note_route(&mut self, route: &Route) {
+    pub fn set_route(&mut self, route: &Route) {
         self.route = route.name.clone();
     }
 
@@ -63,28 +63,28 @@
     }
 
     /// When the request arrived.
-    pub fn started(&self) -> Instant {
-        self.started
+    pub fn arrived_at(&self) -> Instant {
+        self.arrived_at
     }
 
     /// The head of a replica's answer has come.
-    pub fn answered(&self) {
+    pub fn record_answer_head(&self) {
         self.state
             .status
             .metrics
             .time_to_answer
-            .observe(self.started.elapsed());
+            .observe(self.arrived_at.elapsed());
     }
 
     /// Events of a stream are passed on.
-    pub fn passed_on(&mut self) {
-        self.pace.note_events(self.started, Instant::now());
+    pub fn record_events(&mut self) {
+        self.timing.note_events(self.arrived_at, Instant::now());
     }
 
     /// The answer was whole.
-    pub fn completed(&mut self, replica: &str, status: u16) {
-        self.is_settled = true;
-        let elapsed = self.started.elapsed();
+    pub fn record_completion(&mut self, replica: &str, status: u16) {
+        self.is_finished = true;
+        let elapsed = self.arrived_at.elapsed();
         self.state.status.metrics.answered.inc();
         self.state.status.metrics.request_duration.observe(elapsed);
         log_event!(
@@ -92,33 +92,33 @@
             "request={} route={} replica={replica} status={status} elapsed={elapsed:?} first_event={:?} longest_pause={:?}",
             self.id,
             self.route,
-            self.pace.first_after(),
-            self.pace.longest_pause()
+            self.timing.first_event_after(),
+            self.timing.longest_pause()
         );
     }
 
     /// The gateway itself answers, not a replica.
-    pub fn refused(&mut self) {
-        self.is_settled = true;
+    pub fn record_refusal(&mut self) {
+        self.is_finished = true;
         self.state.status.metrics.refused.inc();
     }
 
     /// The answer was cut midway.
-    pub fn cut(&mut self, reason: &str) {
-        self.is_settled = true;
+    pub fn record_cut(&mut self, reason: &str) {
+        self.is_finished = true;
         self.state.status.metrics.cut.inc();
         log_event!(
             gateway::STREAM_CUT,
             "request={} route={} elapsed={:?} first_event={:?} reason={reason:?}",
             self.id,
             self.route,
-            self.started.elapsed(),
-            self.pace.first_after()
+            self.arrived_at.elapsed(),
+            self.timing.first_event_after()
         );
     }
 
     /// The books, for the answer's stream to keep; what stays behind is settled.
-    pub fn take(&mut self) -> Self {
+    pub fn hand_over(&mut self) -> Self {
         self.state
             .status
             .open_requests
@@ -126,18 +126,18 @@
         let taken = Self {
             state: Rc::clone(&self.state),
             connection: self.connection.take(),
-            started: self.started,
+            arrived_at: self.arrived_at,
             id: self.id.clone(),
             route: self.route.clone(),
-            pace: self.pace,
-            is_settled: false,
+            timing: self.timing,
+            is_finished: false,
         };
-        self.is_settled = true;
+        self.is_finished = true;
         taken
     }
 }
 
-impl Drop for Account {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
         self.state
             .status
@@ -146,15 +146,15 @@
         if let Some(connection) = self.connection {
             self.state.callers.request_ended(connection);
         }
-        if !self.is_settled {
+        if !self.is_finished {
             self.state.status.metrics.abandoned.inc();
             log_event!(
                 gateway::CALLER_LEFT,
                 "request={} route={} elapsed={:?} first_event={:?}",
                 self.id,
                 self.route,
-                self.started.elapsed(),
-                self.pace.first_after()
+                self.arrived_at.elapsed(),
+                self.timing.first_event_after()
             );
         }
     }
--- a/crates/gateway/src/pipeline/admission.rs
+++ b/crates/gateway/src/pipeline/admission.rs
@@ -29,11 +29,11 @@
 
 /// The share of a caller's patience up to which a wait is taken for one that it sits out. It is below one since
 /// a request that its caller gives up teaches no longer wait than that patience, and that fades.
-const PATIENCE_USED: f64 = 0.8;
+const USABLE_TIMEOUT_SHARE: f64 = 0.8;
 
 /// How many ranks a request is sent behind its own that will be late: beyond all ranks in use, so that late
 /// requests of an urgent kind don't go before punctual ones of another (operator's sheets: ranks 0 to 3).
-const RANKS_BEHIND: u8 = 5;
+const LATE_RANK_OFFSET: u8 = 5;
 
 /// The last rank.
 const LAST_RANK: u8 = 9;
@@ -44,13 +44,13 @@
     /// Nothing of its answer was passed on.
     New,
     /// It is a stream that broke midway.
-    GoingOn,
+    Resumed,
 }
 
-/// Whether a request whose caller waits for `patience_left` more is of use where it will wait for
+/// Whether a request whose caller waits for `first_event_time_left` more is of use where it will wait for
 /// `typical_wait` before it begins.
-pub fn is_of_use(typical_wait: Duration, patience_left: Duration) -> bool {
-    typical_wait < patience_left.mul_f64(PATIENCE_USED)
+pub fn is_worth_sending(typical_wait: Duration, first_event_time_left: Duration) -> bool {
+    typical_wait < first_event_time_left.mul_f64(USABLE_TIMEOUT_SHARE)
 }
 
 /// Whether a request is still punctual that will wait for `expected_wait` where `objective_left` is left of the
@@ -63,13 +63,13 @@
 /// `objective` is the longest objective of its service's routes. Then more is sent than is worked off, and whatever is added
 /// makes what comes later late. The bound is the same for all kinds of requests, so that those with shorter objectives aren't
 /// refused for the sake of others.
-pub fn are_lines_too_long(together: Duration, objective: Option<Duration>) -> bool {
+pub fn are_queues_too_long(together: Duration, objective: Option<Duration>) -> bool {
     objective.is_some_and(|objective| together > objective)
 }
 
 /// The rank of a request that will be late, behind that of those that will not.
-pub fn rank_behind(rank: u8) -> u8 {
-    rank.saturating_add(RANKS_BEHIND).min(LAST_RANK)
+pub fn late_rank(rank: u8) -> u8 {
+    rank.saturating_add(LATE_RANK_OFFSET).min(LAST_RANK)
 }
 
 /// The replicas among which an admitted request is placed, and its rank.
@@ -97,25 +97,37 @@
     let line_at = |replica: &Rc<Replica>| replica.waits.line(rank, now);
     let together = wait_together(candidates.iter().map(line_at));
     let objective = context.configuration.longest_objective(&context.service);
-    if is_regulated && are_lines_too_long(together, objective) {
-        let bearable = objective.unwrap_or_default();
+    if is_regulated && are_queues_too_long(together, objective) {
+        let acceptable_wait = objective.unwrap_or_default();
         let detail = format!("a wait of {together:?} at all replicas together");
-        return Err(overloaded(state, context, together, bearable, detail));
+        return Err(overloaded(
+            state,
+            context,
+            together,
+            acceptable_wait,
+            detail,
+        ));
     }
     let expected_wait = candidates.iter().map(expected_at).min().unwrap_or_default();
     if !is_regulated || is_in_time(expected_wait, context.objective_left(now)) {
         return Ok(Admitted { candidates, rank });
     }
-    let behind = rank_behind(rank);
+    let behind = late_rank(rank);
     let typical_at = |replica: &Rc<Replica>| replica.waits.typical(behind, now);
     let typical_wait = candidates.iter().map(typical_at).min().unwrap_or_default();
-    let patience_left = context.patience_left(now);
-    if !is_of_use(typical_wait, patience_left) {
+    let first_event_time_left = context.first_event_time_left(now);
+    if !is_worth_sending(typical_wait, first_event_time_left) {
         let detail = format!(
-            "typical wait {typical_wait:?} at the best of the replicas, the caller waits for {patience_left:?} more"
+            "typical wait {typical_wait:?} at the best of the replicas, the caller waits for {first_event_time_left:?} more"
         );
-        let bearable = context.patience();
-        return Err(overloaded(state, context, typical_wait, bearable, detail));
+        let acceptable_wait = context.first_event_timeout();
+        return Err(overloaded(
+            state,
+            context,
+            typical_wait,
+            acceptable_wait,
+            detail,
+        ));
     }
     // Where older weights leave no time for the longer wait behind, it goes with its own rank.
     match eligible(behind) {
@@ -127,15 +139,15 @@
     }
 }
 
-/// The refusal of a request that would wait for `wait`, where one that comes back may wait for `bearable`.
+/// The refusal of a request that would wait for `wait`, where one that comes back may wait for `acceptable_wait`.
 fn overloaded(
     state: &GatewayState,
     context: &RequestContext,
     wait: Duration,
-    bearable: Duration,
+    acceptable_wait: Duration,
     detail: String,
 ) -> Refusal {
-    let time = retry_after(wait, bearable, context.time_left(), state.draw());
+    let time = retry_after(wait, acceptable_wait, context.time_left(), state.draw());
     Refusal {
         retry_after: Some(time),
         ..Refusal::new(Step::Choose, Reason::Overloaded, detail)
--- a/crates/gateway/src/pipeline/authenticate.rs
+++ b/crates/gateway/src/pipeline/authenticate.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::find_route::{DENIAL_PATIENCE, denial_currency};
+use super::find_route::{CONFIRMATION_TIMEOUT, denial_max_proof_age};
 use super::refusal::{Reason, Refusal, Step};
 use crate::configuration::{Route, Tenant};
 use crate::state::GatewayState;
 
 /// How much earlier than allowed a proof counts as too old, for the way of a request to its replica.
-const CURRENCY_MARGIN: Duration = Duration::from_millis(300);
+const PROOF_AGE_MARGIN: Duration = Duration::from_millis(300);
 
 /// The tenant; none where the route or the configuration asks for no key.
 pub async fn authenticate(
@@ -27,7 +27,7 @@
     if !needs_key() {
         return Ok(None);
     }
-    check_currency(state, route).await?;
+    check_proof_age(state, route).await?;
     let look_up = || {
         let configuration = state.configuration.load_full()?;
         configuration.tenant(key?).cloned()
@@ -37,24 +37,28 @@
     }
     let is_confirmed = state
         .currency
-        .confirm(denial_currency(state), DENIAL_PATIENCE)
+        .confirm(denial_max_proof_age(state), CONFIRMATION_TIMEOUT)
         .await;
     match (look_up(), is_confirmed) {
         (Some(tenant), _) => Ok(Some(tenant)),
-        (None, true) => Err(refused(Reason::UnknownKey, "no tenant holds the key")),
-        (None, false) => Err(refused(Reason::NotInformed, "no current configuration")),
+        (None, true) => Err(refusal(Reason::UnknownKey, "no tenant holds the key")),
+        (None, false) => Err(refusal(Reason::NotInformed, "no current configuration")),
     }
 }
 
 /// The share of the route's objective for which a request waits for a proof at a daemon whose own is too old.
 /// Such a daemon has tried to renew it for seconds, so another one serves the caller sooner; a refusal within
 /// a quarter of the objective leaves the caller time for that.
-const LOST_PROOF_SHARE: f64 = 0.2;
+const LOST_PROOF_WAIT_SHARE: f64 = 0.2;
 
 /// A key may have been taken away since the configuration was last known to be current.
-async fn check_currency(state: &GatewayState, route: &Route) -> Result<(), Refusal> {
-    if !state.currency.until_peer_answers(DENIAL_PATIENCE).await {
-        return Err(refused(
+async fn check_proof_age(state: &GatewayState, route: &Route) -> Result<(), Refusal> {
+    if !state
+        .currency
+        .until_peer_answers(CONFIRMATION_TIMEOUT)
+        .await
+    {
+        return Err(refusal(
             Reason::NotInformed,
             "no other gateway has been heard yet",
         ));
@@ -62,7 +66,7 @@
     let configuration = state.configuration.load();
     let version = configuration.as_ref().map_or(0, |known| known.version);
     if state.currency.is_outdated(version) {
-        return Err(refused(
+        return Err(refusal(
             Reason::NotInformed,
             "the store has lost the newest configuration",
         ));
@@ -70,14 +74,14 @@
     let Some(allowed) = state.times.get().key_currency else {
         return Ok(());
     };
-    let allowed = allowed.saturating_sub(CURRENCY_MARGIN);
+    let allowed = allowed.saturating_sub(PROOF_AGE_MARGIN);
     if state.currency.is_within(allowed) {
         return Ok(());
     }
-    let patience = proof_patience(state.currency.age().is_some(), route.objective);
-    match state.currency.confirm(allowed, patience).await {
+    let timeout = proof_timeout(state.currency.age().is_some(), route.objective);
+    match state.currency.confirm(allowed, timeout).await {
         true => Ok(()),
-        false => Err(refused(
+        false => Err(refusal(
             Reason::NotInformed,
             "the keys are not known to be current",
         )),
@@ -86,13 +90,13 @@
 
 /// How long a request waits for a proof of the configuration: a daemon that has had one lost it, a daemon
 /// that has had none yet has just started and reads the store for the first time.
-fn proof_patience(had_proof: bool, objective: Duration) -> Duration {
+fn proof_timeout(had_proof: bool, objective: Duration) -> Duration {
     match had_proof && !objective.is_zero() {
-        true => DENIAL_PATIENCE.min(objective.mul_f64(LOST_PROOF_SHARE)),
-        false => DENIAL_PATIENCE,
+        true => CONFIRMATION_TIMEOUT.min(objective.mul_f64(LOST_PROOF_WAIT_SHARE)),
+        false => CONFIRMATION_TIMEOUT,
     }
 }
 
-fn refused(reason: Reason, detail: &str) -> Refusal {
+fn refusal(reason: Reason, detail: &str) -> Refusal {
     Refusal::new(Step::Authenticate, reason, detail)
 }
--- a/crates/gateway/src/pipeline/check_quarantine.rs
+++ b/crates/gateway/src/pipeline/check_quarantine.rs
@@ -22,11 +22,11 @@
             "suspected to have ended replicas",
         )),
         Verdict::Suspicious => Ok(()),
-        Verdict::Due if tries(state, context.fingerprint()) => {
+        Verdict::Due if is_trial_gateway(state, context.fingerprint()) => {
             state.quarantine.begin_trial(context.fingerprint());
             Ok(())
         }
-        Verdict::Apart(from) if tries_apart(state, context.fingerprint(), from) => {
+        Verdict::Apart(from) if is_own_turn_to_isolate(state, context.fingerprint(), from) => {
             state.quarantine.begin_apart(context.fingerprint());
             Ok(())
         }
@@ -45,12 +45,12 @@
 }
 
 /// Whether this is the one daemon that tries the request in quarantine: all together would try it once each.
-fn tries(state: &GatewayState, fingerprint: Fingerprint) -> bool {
+fn is_trial_gateway(state: &GatewayState, fingerprint: Fingerprint) -> bool {
     is_first_home(&state.peers.directory(), fingerprint, state.peers.own())
 }
 
 /// Whether it is this daemon's turn to try the request apart, which has been due since `from`.
-fn tries_apart(state: &GatewayState, fingerprint: Fingerprint, from: Duration) -> bool {
+fn is_own_turn_to_isolate(state: &GatewayState, fingerprint: Fingerprint, from: Duration) -> bool {
     let turn = apart::turn(&state.peers.directory(), fingerprint, state.peers.own());
     state.quarantine.now() >= from.saturating_add(turn)
 }
--- a/crates/gateway/src/pipeline/check_quota.rs
+++ b/crates/gateway/src/pipeline/check_quota.rs
@@ -24,7 +24,7 @@
     let tokens = prompt.map(size).filter(|tokens| *tokens > 0);
     let charged = state
         .quotas
-        .admit(tenant, tokens, state.draw_share(), Instant::now());
+        .admit(tenant, tokens, state.random_fraction(), Instant::now());
     charged.map_err(|(refused, limit)| {
         let detail = format!("tenant {}: {limit}", tenant.name);
         match refused {
--- a/crates/gateway/src/pipeline/choose_backend.rs
+++ b/crates/gateway/src/pipeline/choose_backend.rs
@@ -27,21 +27,21 @@
 }
 
 fn next_position(state: &GatewayState, route: &Route, total: f64) -> usize {
-    let mut division = state.division.borrow_mut();
-    let owed = division.entry(route.name.clone()).or_default();
-    if owed.len() != route.backends.len() {
+    let mut backend_credits = state.backend_credits.borrow_mut();
+    let credits = backend_credits.entry(route.name.clone()).or_default();
+    if credits.len() != route.backends.len() {
         // Each daemon begins elsewhere, so that together they don't all begin with the same service.
-        let start = (state.life % 1000) as f64 / 1000.0;
-        *owed = vec![0.0; route.backends.len()];
-        owed[0] = start;
+        let start = (state.incarnation % 1000) as f64 / 1000.0;
+        *credits = vec![0.0; route.backends.len()];
+        credits[0] = start;
     }
-    for (owed, backend) in owed.iter_mut().zip(&route.backends) {
-        *owed += f64::from(backend.weight) / total;
+    for (credits, backend) in credits.iter_mut().zip(&route.backends) {
+        *credits += f64::from(backend.weight) / total;
     }
-    let furthest_behind = (0..owed.len())
+    let furthest_behind = (0..credits.len())
         .filter(|index| route.backends[*index].weight > 0)
-        .max_by(|one, other| owed[*one].total_cmp(&owed[*other]))
+        .max_by(|one, other| credits[*one].total_cmp(&credits[*other]))
         .unwrap_or(0);
-    owed[furthest_behind] -= 1.0;
+    credits[furthest_behind] -= 1.0;
     furthest_behind
 }
--- a/crates/gateway/src/pipeline/choose_replica.rs
+++ b/crates/gateway/src/pipeline/choose_replica.rs
@@ -10,7 +10,7 @@
 use super::context::RequestContext;
 use super::prompt_sources::{PromptSources, Supply};
 use super::refusal::{Reason, Refusal, Step};
-use super::retry_after::return_after_pause;
+use super::retry_after::retry_after_pause;
 use crate::cache::Prefix;
 use crate::notices::Pause;
 use crate::protocol::ReplicaIncarnation;
@@ -18,17 +18,17 @@
 use crate::state::GatewayState;
 
 /// Shared tokens from which a prompt is worth copying to a store; fewer are read again in no time.
-const WORTH_KEEPING: u64 = 512;
+const MIN_SHARED_TOKENS_TO_SAVE: u64 = 512;
 
 /// A prompt is copied only if its own part has at most the shared tokens divided by this: the own part goes
 /// along, and drives out what others need.
-const MOST_OWN: u64 = 1;
+const MIN_SHARED_TO_OWN_RATIO: u64 = 1;
 
 /// After this time answers with older weights are worth less.
-const WORTH_LESS_AFTER: Duration = Duration::from_millis(1400);
+const OUTDATED_PENALTY_DELAY: Duration = Duration::from_millis(1400);
 
 /// Of the few replicas that are compared, so many must be able to serve: else others are looked at too.
-const LEAST_COMPARED: usize = MOST_COMPARED / 4;
+const MIN_ELIGIBLE_COMPARED: usize = MOST_COMPARED / 4;
 
 /// A replica for one attempt.
 #[derive(Debug)]
@@ -46,9 +46,9 @@
     /// The shared prefixes of the prompt, under the replica's weights.
     pub prefixes: Vec<Prefix>,
     /// Tokens of the prompt that it probably keeps.
-    pub held_tokens: u64,
+    pub cached_tokens: u64,
     /// Tokens of the prompt that it probably has to read.
-    pub tokens_to_read: u64,
+    pub tokens_to_prefill: u64,
     /// Whether the prompt's shared parts belong there.
     pub is_home: bool,
     /// The rank under which it is sent; 0 goes first.
@@ -68,7 +68,7 @@
     let listed = state.registry.of_service(&context.service);
     let key = context.placement_key();
     let admitted = match listed.len() > MOST_COMPARED {
-        true => admit_to_few(state, context, key, tried, progress, &listed),
+        true => admit_to_compared(state, context, key, tried, progress, &listed),
         false => None,
     };
     let admitted = match admitted {
@@ -90,7 +90,7 @@
     let views: Vec<Candidate> = candidates
         .iter()
         .zip(&supplies)
-        .map(|(replica, supply)| view(state, context, replica, supply))
+        .map(|(replica, supply)| to_candidate(state, context, replica, supply))
         .collect();
     let (position, home) =
         place(&views, key, state.draw()).ok_or_else(|| no_replica("none is listed"))?;
@@ -99,13 +99,13 @@
     let store = store.map(|store| store.address);
     let weights_version = context.version_of(&replica);
     let cache_scope = context.cache_scope(weights_version);
-    let save_to = store.filter(|store| wants_copy(state, context, *store, cache_scope.as_deref()));
+    let save_to = store.filter(|store| should_save(state, context, *store, cache_scope.as_deref()));
     Ok(Choice {
-        tokens_to_read: tokens_to_read(context, &supply),
+        tokens_to_prefill: tokens_to_prefill(context, &supply),
         prefixes: sources.prefixes(&replica),
         weights_version,
         cache_scope,
-        held_tokens: supply.held_tokens,
+        cached_tokens: supply.cached_tokens,
         fetch_from: supply.source.map(|source| source.address).or(store),
         save_to,
         is_home: position == home,
@@ -116,7 +116,7 @@
 }
 
 /// Whether the shared parts of the prompt are worth copying to the store, and not known to be there.
-fn wants_copy(
+fn should_save(
     state: &GatewayState,
     context: &RequestContext,
     store: SocketAddr,
@@ -125,7 +125,8 @@
     let shared = context.shared_parts();
     let shared_tokens = context.shared_tokens();
     let own_tokens = context.input_tokens().saturating_sub(shared_tokens);
-    let is_worth_it = shared_tokens >= WORTH_KEEPING && own_tokens <= shared_tokens / MOST_OWN;
+    let is_worth_it = shared_tokens >= MIN_SHARED_TOKENS_TO_SAVE
+        && own_tokens <= shared_tokens / MIN_SHARED_TO_OWN_RATIO;
     let Some(scope) = scope.filter(|_| is_worth_it) else {
         return false;
     };
@@ -136,7 +137,7 @@
 
 /// Admits the request to the few replicas of many that can win, where most of them may serve and it will begin in time there.
 /// Otherwise all have to be looked at.
-fn admit_to_few(
+fn admit_to_compared(
     state: &GatewayState,
     context: &RequestContext,
     key: Option<PlacementKey>,
@@ -147,7 +148,7 @@
     let few = listed.compared(key, state.draw());
     let eligible_for = |rank| eligible(state, context, &few, tried, rank);
     let admitted = admit(state, context, progress, eligible_for).ok()?;
-    let is_enough = admitted.candidates.len() >= LEAST_COMPARED;
+    let is_enough = admitted.candidates.len() >= MIN_ELIGIBLE_COMPARED;
     (is_enough && admitted.rank == context.priority()).then_some(admitted)
 }
 
@@ -166,7 +167,7 @@
     let mut staying: Vec<Rc<Replica>> = listed.iter().filter(is_staying).cloned().collect();
     if staying.is_empty() {
         let left = listed.iter().filter(|replica| replica.is_staying(now));
-        return Err(match soonest_end(left, now) {
+        return Err(match earliest_pause_end(left, now) {
             Some((replica, pause)) => all_paused(state, replica, &pause, now),
             None => no_replica("all are leaving, tried or unknown"),
         });
@@ -192,7 +193,7 @@
     replicas: &mut Vec<Rc<Replica>>,
     now: Instant,
 ) -> Result<(), Refusal> {
-    if let Some((replica, pause)) = soonest_end(replicas.iter(), now) {
+    if let Some((replica, pause)) = earliest_pause_end(replicas.iter(), now) {
         return Err(all_paused(state, replica, &pause, now));
     }
     replicas.retain(|replica| match replica.notices.pause(now) {
@@ -206,18 +207,18 @@
 }
 
 /// The first of these replicas that takes requests again, where all have asked for a pause.
-fn soonest_end<'a>(
+fn earliest_pause_end<'a>(
     replicas: impl Iterator<Item = &'a Rc<Replica>>,
     now: Instant,
 ) -> Option<(&'a Replica, Pause)> {
-    let mut soonest: Option<(&Replica, Pause)> = None;
+    let mut earliest: Option<(&Replica, Pause)> = None;
     for replica in replicas {
         let pause = replica.notices.pause(now)?;
-        if soonest.is_none_or(|(_, known)| pause.until < known.until) {
-            soonest = Some((replica, pause));
+        if earliest.is_none_or(|(_, known)| pause.until < known.until) {
+            earliest = Some((replica, pause));
         }
     }
-    soonest
+    earliest
 }
 
 /// The refusal where this replica is the first to take requests again.
@@ -235,7 +236,7 @@
 /// The refusal of a request that no replica takes for so long.
 pub fn paused(state: &GatewayState, time: Duration, detail: String) -> Refusal {
     Refusal {
-        retry_after: Some(return_after_pause(time, state.draw())),
+        retry_after: Some(retry_after_pause(time, state.draw())),
         ..Refusal::new(Step::Choose, Reason::Paused, detail)
     }
 }
@@ -263,8 +264,12 @@
 }
 
 /// Whether an answer with the replica's weights is worth less.
-fn is_worth_less(state: &GatewayState, context: &RequestContext, replica: &Replica) -> bool {
-    outdated_for(state, context, replica).is_some_and(|age| age >= WORTH_LESS_AFTER)
+fn is_penalized_as_outdated(
+    state: &GatewayState,
+    context: &RequestContext,
+    replica: &Replica,
+) -> bool {
+    outdated_for(state, context, replica).is_some_and(|age| age >= OUTDATED_PENALTY_DELAY)
 }
 
 /// For how long newer weights than the replica's have been wanted.
@@ -280,13 +285,13 @@
 }
 
 /// Tokens that the replica has to read: all but those that it keeps or fetches.
-fn tokens_to_read(context: &RequestContext, supply: &Supply) -> u64 {
+fn tokens_to_prefill(context: &RequestContext, supply: &Supply) -> u64 {
     let fetched = supply.source.map_or(0, |source| source.tokens);
-    let known = supply.held_tokens.max(fetched);
+    let known = supply.cached_tokens.max(fetched);
     context.input_tokens().saturating_sub(known)
 }
 
-fn view(
+fn to_candidate(
     state: &GatewayState,
     context: &RequestContext,
     replica: &Replica,
@@ -296,11 +301,11 @@
         id_hash: replica.id_hash,
         open_requests: replica.open_requests(),
         reading: replica.reading(Instant::now()),
-        is_outdated: is_worth_less(state, context, replica),
+        is_outdated: is_penalized_as_outdated(state, context, replica),
         failure_share: replica.health.failure_share(),
         is_near: replica.entry().zone == state.settings.zone,
-        fetching: supply.fetching,
-        reading_again: supply.reading,
+        fetching: supply.fetch_cost,
+        reading_again: supply.prefill_cost,
     }
 }
 
--- a/crates/gateway/src/pipeline/collect.rs
+++ b/crates/gateway/src/pipeline/collect.rs
@@ -9,8 +9,8 @@
 use ntex::http::ResponseBuilder;
 use ntex::web::HttpResponse;
 
-use super::account::Account;
-use super::attempts::{Attempt, Attempts, Break};
+use super::account::RequestTracker;
+use super::attempts::{AnswerFailure, Attempt, Attempts};
 use super::check_quarantine::note_survived;
 use super::context::RequestContext;
 use super::decode::is_hop_by_hop;
@@ -21,17 +21,17 @@
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
 /// How much longer than its time a request is held, so that its replica's own last word comes first.
-pub const LAST_WORD: Duration = Duration::from_millis(150);
+pub const DEADLINE_GRACE: Duration = Duration::from_millis(150);
 
 /// Serves the request.
 pub async fn serve(
     state: &Rc<GatewayState>,
     context: Rc<RequestContext>,
-    account: &mut Account,
+    tracker: &mut RequestTracker,
 ) -> Result<HttpResponse, Refusal> {
-    let limit = context.time_left() + LAST_WORD;
-    let served = tokio::time::timeout(limit, fetch(state, &context)).await;
-    let whole = served.map_err(|_| {
+    let limit = context.time_left() + DEADLINE_GRACE;
+    let served = tokio::time::timeout(limit, fetch_answer(state, &context)).await;
+    let answer = served.map_err(|_| {
         Refusal::new(
             Step::Answer,
             Reason::TimedOut,
@@ -39,29 +39,32 @@
         )
     })??;
     note_survived(state, &context);
-    account.answered();
-    account.completed(&whole.replica, whole.status.as_u16());
-    let mut builder = ResponseBuilder::new(whole.status);
-    copy_headers(&whole.headers, &mut builder);
-    Ok(builder.body(whole.body.to_vec()))
+    tracker.record_answer_head();
+    tracker.record_completion(&answer.replica, answer.status.as_u16());
+    let mut builder = ResponseBuilder::new(answer.status);
+    copy_headers(&answer.headers, &mut builder);
+    Ok(builder.body(answer.body.to_vec()))
 }
 
 /// An answer that is whole.
-struct Whole {
+struct CompleteAnswer {
     replica: String,
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-async fn fetch(state: &Rc<GatewayState>, context: &Rc<RequestContext>) -> Result<Whole, Refusal> {
+async fn fetch_answer(
+    state: &Rc<GatewayState>,
+    context: &Rc<RequestContext>,
+) -> Result<CompleteAnswer, Refusal> {
     let mut attempts = Attempts::new(state, context);
     loop {
         let Attempt { mut opened, choice } = attempts.next(None).await?;
         opened.note_begun(state, context, &choice);
         match opened.answer.collect(MAX_ANSWER_BYTES).await {
             Ok(body) => {
-                return Ok(Whole {
+                return Ok(CompleteAnswer {
                     replica: choice.replica.id().to_owned(),
                     status: opened.answer.status(),
                     headers: opened.answer.headers().clone(),
@@ -69,8 +72,8 @@
                 });
             }
             Err(error) => {
-                let why = Break::BrokeOff(error.to_string());
-                attempts.broke_off(&choice, &why)?;
+                let why = AnswerFailure::BrokeOff(error.to_string());
+                attempts.handle_failed_answer(&choice, &why)?;
             }
         }
     }
--- a/crates/gateway/src/pipeline/context.rs
+++ b/crates/gateway/src/pipeline/context.rs
@@ -17,7 +17,7 @@
 use crate::replicas::{PlacementKey, Replica};
 
 /// How long a request is held where neither caller nor route say so.
-const LONGEST_HOLD: Duration = Duration::from_secs(600);
+const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// What is known of a request once it may be sent.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     /// The service that serves it.
     pub service: String,
     /// When it arrived.
-    pub started: Instant,
+    pub arrived_at: Instant,
     /// When its caller or its route gives it up.
     pub deadline: Instant,
     fingerprint: OnceCell<Fingerprint>,
@@ -58,11 +58,11 @@
         tenant: Option<Arc<Tenant>>,
         service: String,
         body: Bytes,
-        started: Instant,
+        arrived_at: Instant,
     ) -> Self {
-        let wait = decoded.meta.deadline.unwrap_or(LONGEST_HOLD);
+        let wait = decoded.meta.deadline.unwrap_or(DEFAULT_REQUEST_TIMEOUT);
         let hold = match route.timeout {
-            Duration::ZERO => LONGEST_HOLD,
+            Duration::ZERO => DEFAULT_REQUEST_TIMEOUT,
             timeout => timeout,
         };
         Self {
@@ -76,8 +76,8 @@
             route,
             tenant,
             service,
-            started,
-            deadline: started + wait.min(hold),
+            arrived_at,
+            deadline: arrived_at + wait.min(hold),
             fingerprint: OnceCell::new(),
         }
     }
@@ -105,25 +105,25 @@
     /// What is left at `now` of the time in which its answer should begin; without an objective, all the time that
     /// its caller waits.
     pub fn objective_left(&self, now: Instant) -> Duration {
-        let elapsed = now.saturating_duration_since(self.started);
+        let elapsed = now.saturating_duration_since(self.arrived_at);
         let objective = match self.route.objective {
-            Duration::ZERO => self.patience(),
+            Duration::ZERO => self.first_event_timeout(),
             objective => objective,
         };
         objective.saturating_sub(elapsed)
     }
 
     /// How long its caller waits for it to begin, from its arrival.
-    pub fn patience(&self) -> Duration {
-        let hold = self.deadline.saturating_duration_since(self.started);
-        let patience = self.route.first_event_timeout;
-        patience.map_or(hold, |patience| patience.min(hold))
+    pub fn first_event_timeout(&self) -> Duration {
+        let hold = self.deadline.saturating_duration_since(self.arrived_at);
+        let timeout = self.route.first_event_timeout;
+        timeout.map_or(hold, |timeout| timeout.min(hold))
     }
 
     /// How much longer its caller waits at `now` for it to begin.
-    pub fn patience_left(&self, now: Instant) -> Duration {
-        let elapsed = now.saturating_duration_since(self.started);
-        self.patience().saturating_sub(elapsed)
+    pub fn first_event_time_left(&self, now: Instant) -> Duration {
+        let elapsed = now.saturating_duration_since(self.arrived_at);
+        self.first_event_timeout().saturating_sub(elapsed)
     }
 
     /// The prompt, where there is one.
--- a/crates/gateway/src/pipeline/dispatch.rs
+++ b/crates/gateway/src/pipeline/dispatch.rs
@@ -13,7 +13,7 @@
 
 use super::choose_replica::Choice;
 use super::context::RequestContext;
-use super::withdrawal::{is_too_old, replica_time_limit, until_too_old};
+use super::withdrawal::{are_weights_too_old, replica_time_limit, until_weights_too_old};
 use crate::peers::message::WirePrompt;
 use crate::protocol::Dispatch;
 use crate::replicas::{OpenWork, Waiting};
@@ -21,11 +21,11 @@
 use crate::upstream::{Answer, Connection, SendFailure};
 
 /// Why a request is not sent though a connection has come up.
-const TOO_OLD_BY_NOW: &str = "its weights are too old by now";
+const WEIGHTS_TOO_OLD: &str = "its weights are too old by now";
 
 /// An answer whose head has come, and the count of the work that it stands for.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenAnswer {
     /// The answer.
     pub answer: Answer,
     /// Counts the request at its replica for as long as the answer is open.
@@ -34,7 +34,7 @@
     waiting: Option<Waiting>,
 }
 
-impl Opened {
+impl OpenAnswer {
     /// Whether the replica has begun to answer: of a stream an event has come, of others the head.
     pub fn has_begun(&self) -> bool {
         self.waiting.is_none()
@@ -58,7 +58,7 @@
 }
 
 /// Why a request that goes to a replica gets no head of an answer.
-pub enum Unanswered {
+pub enum SendError {
     /// It could not be sent, or its answer was lost.
     Failed(SendFailure),
     /// It waited until the replica's weights became too old.
@@ -74,59 +74,60 @@
     context: &RequestContext,
     choice: &Choice,
     last_event_id: Option<&str>,
-) -> Result<Opened, Unanswered> {
+) -> Result<OpenAnswer, SendError> {
     let pool = &choice.replica.pool;
     let work = OpenWork::begin(&choice.replica);
     note_prompt(state, choice);
     loop {
-        let mut connection = connect(state, choice).await.map_err(Unanswered::Failed)?;
+        let mut connection = connect(state, choice).await.map_err(SendError::Failed)?;
         if choice.replica.notices.is_resting(Instant::now()) {
             pool.put(connection);
-            return Err(Unanswered::Resting);
+            return Err(SendError::Resting);
         }
         // While the connection came up: a request that is not sent has not run, one that is withdrawn may have.
-        if is_too_old(state, context, choice) {
-            return Err(Unanswered::Failed(not_sent(choice, TOO_OLD_BY_NOW)));
+        if are_weights_too_old(state, context, choice) {
+            return Err(SendError::Failed(not_sent(choice, WEIGHTS_TOO_OLD)));
         }
-        let request = build(state, context, choice, last_event_id).map_err(Unanswered::Failed)?;
+        let request =
+            build_request(state, context, choice, last_event_id).map_err(SendError::Failed)?;
         let waits = &choice.replica.waits;
         let waiting = Waiting::begin(waits, choice.rank, Instant::now());
         log_sent(state, context, choice, &connection, waiting.expected());
         let answer = tokio::select! {
             biased;
             answer = connection.send(request) => answer,
-            () = until_too_old(state, context, choice) => return Err(Unanswered::Withdrawn),
+            () = until_weights_too_old(state, context, choice) => return Err(SendError::Withdrawn),
         };
         match answer {
             Ok(response) => {
                 let answer = Answer::new(response, connection, Rc::clone(pool));
-                return Ok(Opened {
+                return Ok(OpenAnswer {
                     answer,
                     _work: work,
                     waiting: Some(waiting),
                 });
             }
             Err(SendFailure::NotSent { .. }) if connection.is_reused => {}
-            Err(failure) => return Err(Unanswered::Failed(failure)),
+            Err(failure) => return Err(SendError::Failed(failure)),
         }
     }
 }
 
 /// Remembers what the replica has to read and keeps from now on, and reports it to other daemons.
 fn note_prompt(state: &GatewayState, choice: &Choice) {
-    if choice.tokens_to_read == 0 {
+    if choice.tokens_to_prefill == 0 {
         return;
     }
     let now = Instant::now();
     let replica = &choice.replica;
-    replica.note_prompt(choice.tokens_to_read, now);
+    replica.note_prompt(choice.tokens_to_prefill, now);
     let ready_at = now + replica.reading(now);
     let prefixes = choice.prefixes.iter().map(|prefix| prefix.key);
     state.holders.note(prefixes.clone(), replica, ready_at, now);
     state.peers.report_prompt(WirePrompt {
         replica: replica.id().to_owned(),
         born: replica.life.born,
-        tokens: choice.tokens_to_read,
+        tokens: choice.tokens_to_prefill,
         prefixes: prefixes.map(|key| key.0).collect(),
         sender: 0,
     });
@@ -150,7 +151,7 @@
     }
 }
 
-fn build(
+fn build_request(
     state: &GatewayState,
     context: &RequestContext,
     choice: &Choice,
@@ -200,8 +201,8 @@
         choice.replica.open_requests(),
         choice.replica.reading(Instant::now()),
         choice.rank,
-        choice.held_tokens,
-        choice.tokens_to_read,
+        choice.cached_tokens,
+        choice.tokens_to_prefill,
         choice.weights_version,
         choice.fetch_from,
         choice.save_to.is_some(),
--- a/crates/gateway/src/pipeline/event_splitter.rs
+++ b/crates/gateway/src/pipeline/event_splitter.rs
@@ -35,7 +35,7 @@
     }
 
     /// Forgets the part of an event that is held.
-    pub fn discard_part(&mut self) {
+    pub fn discard_partial_event(&mut self) {
         self.buffer.clear();
     }
 
--- a/crates/gateway/src/pipeline/find_route.rs
+++ b/crates/gateway/src/pipeline/find_route.rs
@@ -12,14 +12,18 @@
 /// request is turned away for good. A proof within that whole time would do: what was acknowledged before it
 /// is known. Those that followers get are up to 1.4 s old (a read each 0.9 s, a question each 0.5 s), so that
 /// with a share of 0.4 (0.8 s) most refusals cost a call to the store.
-const DENIAL_SHARE: f64 = 0.75;
+const DENIAL_PROOF_AGE_SHARE: f64 = 0.75;
 
 /// How long a request waits for such a proof.
-pub const DENIAL_PATIENCE: Duration = Duration::from_millis(600);
+pub const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How fresh the proof has to be on which a request is turned away for good.
-pub fn denial_currency(state: &GatewayState) -> Duration {
-    state.times.get().configuration_lag.mul_f64(DENIAL_SHARE)
+pub fn denial_max_proof_age(state: &GatewayState) -> Duration {
+    state
+        .times
+        .get()
+        .configuration_lag
+        .mul_f64(DENIAL_PROOF_AGE_SHARE)
 }
 
 /// The configuration in force and the request's route. A missing route is believed only where the
@@ -39,7 +43,7 @@
     }
     let is_confirmed = state
         .currency
-        .confirm(denial_currency(state), DENIAL_PATIENCE)
+        .confirm(denial_max_proof_age(state), CONFIRMATION_TIMEOUT)
         .await;
     let is_known = state.configuration.load().is_some();
     look_up().ok_or_else(|| match is_confirmed && is_known {
--- a/crates/gateway/src/pipeline/mod.rs
+++ b/crates/gateway/src/pipeline/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`serve`] is the list, read from top to bottom; each filter has its own file. A filter that can't go
 //! on returns a [`Refusal`], which says whether the request may have run. What must be undone at the end
-//! of a request is held by its [`Account`] and by guards in its answer.
+//! of a request is held by its [`RequestTracker`] and by guards in its answer.
 
 mod account;
 mod admission;
@@ -36,15 +36,15 @@
 
 use crate::configuration::{Configuration, Route, RouteKind, Tenant};
 use crate::state::GatewayState;
-use account::Account;
+use account::RequestTracker;
 use context::RequestContext;
 use decode::Decoded;
 use refusal::Refusal;
 
-pub use admission::{are_lines_too_long, is_in_time, is_of_use, rank_behind};
+pub use admission::{are_queues_too_long, is_in_time, is_worth_sending, late_rank};
 pub use event_splitter::EventSplitter;
-pub use first_list::first_list_patience;
-pub use retry_after::{retry_after, return_after_pause};
+pub use first_list::first_list_timeout;
+pub use retry_after::{retry_after, retry_after_pause};
 
 /// Serves one request and turns a refusal into its answer.
 pub async fn respond(
@@ -52,11 +52,11 @@
     request: HttpRequest,
     payload: Payload,
 ) -> HttpResponse {
-    let started = Instant::now();
-    let mut account = Account::open(&state, request.io(), started);
-    let response = match serve(&state, &request, payload, &mut account).await {
+    let arrived_at = Instant::now();
+    let mut tracker = RequestTracker::open(&state, request.io(), arrived_at);
+    let response = match serve(&state, &request, payload, &mut tracker).await {
         Ok(response) => response,
-        Err(refusal) => refusal.into_response(&state, &mut account),
+        Err(refusal) => refusal.into_response(&state, &mut tracker),
     };
     account::close_while_stopping(&state, response)
 }
@@ -66,17 +66,17 @@
     state: &Rc<GatewayState>,
     request: &HttpRequest,
     payload: Payload,
-    account: &mut Account,
+    tracker: &mut RequestTracker,
 ) -> Result<HttpResponse, Refusal> {
     let decoded = decode::decode(state, request)?;
-    account.name(&decoded.id);
-    refusal::refuse_at_end_of_stop(state)?;
+    tracker.set_request_id(&decoded.id);
+    refusal::refuse_while_stopping(state)?;
     let (configuration, route) = find_route::find_route(state, &decoded).await?;
-    account.note_route(&route);
+    tracker.set_route(&route);
     let tenant = authenticate::authenticate(state, &route, decoded.meta.key.as_deref()).await?;
     let charge = check_quota::check_quota(state, &decoded, tenant.as_deref())?;
     let admitted = (decoded, configuration, route, tenant);
-    let result = serve_admitted(state, request, payload, admitted, account).await;
+    let result = serve_admitted(state, request, payload, admitted, tracker).await;
     if let (Some(charge), Err(refusal)) = (charge, &result)
         && refusal.reason.is_not_run()
     {
@@ -94,12 +94,12 @@
     request: &HttpRequest,
     payload: Payload,
     admitted: AdmittedRequest,
-    account: &mut Account,
+    tracker: &mut RequestTracker,
 ) -> Result<HttpResponse, Refusal> {
     let (decoded, configuration, route, tenant) = admitted;
     let body = read_body::read_body(payload, &configuration.limits).await?;
     let service = choose_backend::choose_backend(state, &route)?;
-    let started = account.started();
+    let arrived_at = tracker.arrived_at();
     let context = RequestContext::new(
         decoded,
         configuration,
@@ -107,11 +107,11 @@
         tenant,
         service,
         body,
-        started,
+        arrived_at,
     );
     let context = Rc::new(context);
     match context.route.kind {
-        RouteKind::Streaming => relay::serve(state, context, request, account).await,
-        RouteKind::Safe | RouteKind::Unsafe => collect::serve(state, context, account).await,
+        RouteKind::Streaming => relay::serve(state, context, request, tracker).await,
+        RouteKind::Safe | RouteKind::Unsafe => collect::serve(state, context, tracker).await,
     }
 }
--- a/crates/gateway/src/pipeline/prompt_sources.rs
+++ b/crates/gateway/src/pipeline/prompt_sources.rs
@@ -14,16 +14,16 @@
 use crate::state::GatewayState;
 
 /// How much a fetch counts against its time on an idle link, since others use the link too.
-const FETCH_WEIGHT: f64 = 3.0;
+const FETCH_COST_FACTOR: f64 = 3.0;
 
 /// What a fetch costs besides the time on the link: asking the source, and what it puts out of memory.
 const FETCH_OVERHEAD: Duration = Duration::from_millis(8);
 
 /// How much reading shared parts again counts against its time: it keeps others waiting, and is paid for.
-const READING_WEIGHT: f64 = 2.0;
+const PREFILL_COST_FACTOR: f64 = 2.0;
 
 /// The share of a replica's memory that keeps what no request uses, where it is about half busy.
-const KEPT_SHARE: f64 = 0.6;
+const REUSABLE_CACHE_SHARE: f64 = 0.6;
 
 /// Where a candidate takes missing parts from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,13 +40,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Supply {
     /// Tokens of the prompt that it probably keeps.
-    pub held_tokens: u64,
+    pub cached_tokens: u64,
     /// Where it takes more from.
     pub source: Option<Source>,
     /// What that costs.
-    pub fetching: Duration,
+    pub fetch_cost: Duration,
     /// What it costs to read the shared parts that it neither keeps nor fetches.
-    pub reading: Duration,
+    pub prefill_cost: Duration,
 }
 
 /// The supply of each candidate for one prompt.
@@ -55,11 +55,11 @@
     context: &'a RequestContext,
     store: Option<KvStore>,
     now: Instant,
-    by_version: HashMap<Option<u64>, SourcesOfVersion>,
+    by_version: HashMap<Option<u64>, VersionSources>,
 }
 
 /// What is known of the prompt under one version of the weights.
-struct SourcesOfVersion {
+struct VersionSources {
     prefixes: Vec<Prefix>,
     replicas: Vec<(Rc<Replica>, u64)>,
     is_in_store: bool,
@@ -85,27 +85,26 @@
     pub fn supply(&mut self, candidate: &Rc<Replica>) -> Supply {
         let version = self.context.version_of(candidate);
         if !self.by_version.contains_key(&version) {
-            let sources = self.sources_of(version);
+            let sources = self.version_sources(version);
             self.by_version.insert(version, sources);
         }
         let sources = &self.by_version[&version];
-        let held_tokens = self.held(&sources.prefixes, candidate, false);
+        let cached_tokens = self.cached_tokens(&sources.prefixes, candidate, false);
         let all = self.context.shared_tokens();
-        let source = match held_tokens < all {
-            true => self.source_for(sources, candidate, held_tokens),
+        let source = match cached_tokens < all {
+            true => self.source_for(sources, candidate, cached_tokens),
             false => None,
         };
-        let known_source = source.filter(|source| source.tokens > held_tokens);
-        let fetched = known_source.map_or(0, |source| source.tokens - held_tokens);
-        let fetching = known_source.map_or(Duration::ZERO, |source| {
-            self.fetching_time(&source, fetched)
-        });
-        let unread = all.saturating_sub(held_tokens + fetched);
+        let known_source = source.filter(|source| source.tokens > cached_tokens);
+        let fetched = known_source.map_or(0, |source| source.tokens - cached_tokens);
+        let fetch_cost =
+            known_source.map_or(Duration::ZERO, |source| self.fetch_cost(&source, fetched));
+        let uncached = all.saturating_sub(cached_tokens + fetched);
         Supply {
-            held_tokens,
+            cached_tokens,
             source,
-            fetching,
-            reading: reading_time(unread).mul_f64(READING_WEIGHT),
+            fetch_cost,
+            prefill_cost: reading_time(uncached).mul_f64(PREFILL_COST_FACTOR),
         }
     }
 
@@ -116,14 +115,14 @@
         sources.map_or_else(Vec::new, |sources| sources.prefixes.clone())
     }
 
-    fn sources_of(&self, version: Option<u64>) -> SourcesOfVersion {
+    fn version_sources(&self, version: Option<u64>) -> VersionSources {
         let parts = self.context.shared_parts();
         let Some(scope) = self
             .context
             .cache_scope(version)
             .filter(|_| !parts.is_empty())
         else {
-            return SourcesOfVersion {
+            return VersionSources {
                 prefixes: Vec::new(),
                 replicas: Vec::new(),
                 is_in_store: false,
@@ -137,7 +136,7 @@
                 && !replica.health.is_unreachable(self.now)
         };
         let held = |replica: &Rc<Replica>| {
-            let tokens = self.held(&prefixes, replica, true);
+            let tokens = self.cached_tokens(&prefixes, replica, true);
             (tokens > 0).then(|| (Rc::clone(replica), tokens))
         };
         let holders = listed.of_lives(&self.state.holders.of_any(&prefixes));
@@ -147,32 +146,32 @@
                 .cached
                 .keeps(store.address, &scope, parts, self.now)
         });
-        SourcesOfVersion {
+        VersionSources {
             prefixes,
             replicas,
             is_in_store,
         }
     }
 
-    fn held(&self, prefixes: &[Prefix], replica: &Replica, is_read: bool) -> u64 {
+    fn cached_tokens(&self, prefixes: &[Prefix], replica: &Replica, is_prefilled: bool) -> u64 {
         let engine = self.context.engine();
         let capacity = engine.map_or(0, |engine| engine.capacity_tokens);
-        let kept_tokens = (capacity as f64 * KEPT_SHARE) as u64;
+        let kept_tokens = (capacity as f64 * REUSABLE_CACHE_SHARE) as u64;
         let holders = &self.state.holders;
-        holders.held_tokens(prefixes, replica, kept_tokens, is_read, self.now)
+        holders.held_tokens(prefixes, replica, kept_tokens, is_prefilled, self.now)
     }
 
     /// Where most of the prompt is: of the replicas that have more than `candidate` the nearest and least busy
     /// one, or the store.
     fn source_for(
         &self,
-        sources: &SourcesOfVersion,
+        sources: &VersionSources,
         candidate: &Replica,
-        held_tokens: u64,
+        cached_tokens: u64,
     ) -> Option<Source> {
         let zone = candidate.entry().zone.clone();
         let others = sources.replicas.iter().filter(|(replica, tokens)| {
-            replica.id_hash != candidate.id_hash && *tokens > held_tokens
+            replica.id_hash != candidate.id_hash && *tokens > cached_tokens
         });
         let best = others.max_by_key(|(replica, tokens)| {
             let is_near = replica.entry().zone == zone;
@@ -199,7 +198,7 @@
     }
 
     /// The time in which so many tokens come from the source.
-    fn fetching_time(&self, source: &Source, tokens: u64) -> Duration {
+    fn fetch_cost(&self, source: &Source, tokens: u64) -> Duration {
         let engine = self.context.engine();
         let bytes_per_token = engine.map_or(0, |engine| engine.bytes_per_token);
         let link_megabits = match source.is_replica {
@@ -208,6 +207,6 @@
         };
         let bits = (tokens * bytes_per_token * 8) as f64;
         let bits_per_second = link_megabits.max(1.0) * 1e6;
-        FETCH_OVERHEAD + Duration::from_secs_f64(FETCH_WEIGHT * bits / bits_per_second)
+        FETCH_OVERHEAD + Duration::from_secs_f64(FETCH_COST_FACTOR * bits / bits_per_second)
     }
 }
--- a/crates/gateway/src/pipeline/refusal.rs
+++ b/crates/gateway/src/pipeline/refusal.rs
@@ -10,7 +10,7 @@
 use ntex::web::HttpResponse;
 use serde::Serialize;
 
-use super::account::Account;
+use super::account::RequestTracker;
 use crate::state::GatewayState;
 
 /// The step of the path at which a request was refused.
@@ -73,7 +73,7 @@
 
 /// When a caller should come back that this daemon can't serve for want of a proof: at once, since its next
 /// connection goes to another daemon, which most often has one.
-const NOT_INFORMED_RETRY: Duration = Duration::from_millis(10);
+const NOT_INFORMED_RETRY_AFTER: Duration = Duration::from_millis(10);
 
 impl Reason {
     /// The status that callers see. 429, 503, 408 and 421 promise that the request never runs.
@@ -117,7 +117,7 @@
     fn retry_after(self) -> Option<Duration> {
         match self {
             Self::Stopping => Some(Duration::ZERO),
-            Self::NotInformed => Some(NOT_INFORMED_RETRY),
+            Self::NotInformed => Some(NOT_INFORMED_RETRY_AFTER),
             Self::NoReplica => Some(Duration::from_millis(250)),
             Self::NotRun => Some(Duration::from_millis(120)),
             _ => None,
@@ -152,8 +152,8 @@
 }
 
 /// Filter: refuses requests that come when a planned stop is nearly over.
-pub fn refuse_at_end_of_stop(state: &GatewayState) -> Result<(), Refusal> {
-    match state.status.is_closed() {
+pub fn refuse_while_stopping(state: &GatewayState) -> Result<(), Refusal> {
+    match state.status.is_refusing_requests() {
         true => Err(Refusal::new(Step::Decode, Reason::Stopping, "stopping")),
         false => Ok(()),
     }
@@ -196,23 +196,23 @@
     }
 
     /// The answer; settles the account.
-    pub fn into_response(self, state: &GatewayState, account: &mut Account) -> HttpResponse {
+    pub fn into_response(self, state: &GatewayState, tracker: &mut RequestTracker) -> HttpResponse {
         let status = self.reason.status();
         let retry_after = self.retry_after.or(self.reason.retry_after());
         log_event!(
             gateway::CALLER_REFUSED,
             "request={} route={} status={} step={:?} reason={:?} peer={:?} retry_after={:?} elapsed={:?} detail={:?}",
-            account.id(),
-            account.route(),
+            tracker.id(),
+            tracker.route(),
             status.as_u16(),
             self.step,
             self.reason,
             self.peer,
             retry_after,
-            account.started().elapsed(),
+            tracker.arrived_at().elapsed(),
             self.detail
         );
-        account.refused();
+        tracker.record_refusal();
         match self.reason {
             Reason::Overloaded => drop(state.status.metrics.overloaded.inc()),
             Reason::Paused => drop(state.status.metrics.paused.inc()),
@@ -220,9 +220,9 @@
             _ => {}
         }
         let mut builder = ResponseBuilder::new(status);
-        if !account.id().is_empty() {
+        if !tracker.id().is_empty() {
             let header = state.platform.request_id_header();
-            builder.header(header, account.id());
+            builder.header(header, tracker.id());
         }
         if let Some(time) = retry_after {
             builder.header("retry-after", format!("{:.3}", time.as_secs_f64()));
--- a/crates/gateway/src/pipeline/relay.rs
+++ b/crates/gateway/src/pipeline/relay.rs
@@ -17,15 +17,15 @@
 use ntex::io::IoRef;
 use ntex::web::{HttpRequest, HttpResponse};
 
-use super::account::Account;
-use super::attempts::{Attempt, Attempts, Break};
+use super::account::RequestTracker;
+use super::attempts::{AnswerFailure, Attempt, Attempts};
 use super::check_quarantine::note_survived;
-use super::collect::{LAST_WORD, copy_headers};
+use super::collect::{DEADLINE_GRACE, copy_headers};
 use super::context::RequestContext;
-use super::dispatch::Opened;
+use super::dispatch::OpenAnswer;
 use super::event_splitter::EventSplitter;
 use super::refusal::{Reason, Refusal, Step};
-use super::withdrawal::until_too_old;
+use super::withdrawal::until_weights_too_old;
 use crate::state::GatewayState;
 
 /// A stream on its way.
@@ -36,8 +36,8 @@
     attempt: Attempt,
     splitter: EventSplitter,
     /// What was read before the head was passed on.
-    first: Option<Piece>,
-    account: Account,
+    first_piece: Option<Piece>,
+    tracker: RequestTracker,
     caller: Option<IoRef>,
     has_ended: bool,
 }
@@ -55,10 +55,10 @@
     state: &Rc<GatewayState>,
     context: Rc<RequestContext>,
     request: &HttpRequest,
-    account: &mut Account,
+    tracker: &mut RequestTracker,
 ) -> Result<HttpResponse, Refusal> {
-    let limit = context.time_left() + LAST_WORD;
-    let opening = tokio::time::timeout(limit, open(state, &context)).await;
+    let limit = context.time_left() + DEADLINE_GRACE;
+    let opening = tokio::time::timeout(limit, open_answer(state, &context)).await;
     let (attempts, attempt, splitter, first) = opening.map_err(|_| {
         Refusal::new(
             Step::Answer,
@@ -66,7 +66,7 @@
             "no first event in the request's time",
         )
     })??;
-    account.answered();
+    tracker.record_answer_head();
     let mut builder = ResponseBuilder::new(attempt.opened.answer.status());
     copy_headers(attempt.opened.answer.headers(), &mut builder);
     let relay = Relay {
@@ -75,16 +75,16 @@
         attempts,
         attempt,
         splitter,
-        first: Some(first),
-        account: account.take(),
+        first_piece: Some(first),
+        tracker: tracker.hand_over(),
         caller: request.io().cloned(),
         has_ended: false,
     };
-    Ok(builder.streaming(Box::pin(unfold(relay, next_piece))))
+    Ok(builder.streaming(Box::pin(unfold(relay, next_response_bytes))))
 }
 
 /// Waits for the first whole event, or the end of an answer without any.
-async fn open(
+async fn open_answer(
     state: &Rc<GatewayState>,
     context: &Rc<RequestContext>,
 ) -> Result<(Attempts, Attempt, EventSplitter, Piece), Refusal> {
@@ -92,36 +92,39 @@
     loop {
         let mut attempt = attempts.next(None).await?;
         let mut splitter = EventSplitter::after(context.meta.last_event_id.clone());
-        match read_from_begin(state, context, &mut attempt, &mut splitter).await {
+        match read_or_withdraw(state, context, &mut attempt, &mut splitter).await {
             Ok(first) => {
                 return Ok((attempts, attempt, splitter, first));
             }
-            Err(why) => attempts.broke_off(&attempt.choice, &why)?,
+            Err(why) => attempts.handle_failed_answer(&attempt.choice, &why)?,
         }
     }
 }
 
 /// Reads the next piece. Where none has come of this attempt yet, the request waits at its replica, and is
 /// withdrawn once the weights there are too old for it to begin.
-async fn read_from_begin(
+async fn read_or_withdraw(
     state: &GatewayState,
     context: &RequestContext,
     attempt: &mut Attempt,
     splitter: &mut EventSplitter,
-) -> Result<Piece, Break> {
+) -> Result<Piece, AnswerFailure> {
     let Attempt { opened, choice } = attempt;
     let has_begun = opened.has_begun();
     let piece = tokio::select! {
         biased;
-        piece = read_piece(opened, splitter) => piece.map_err(Break::BrokeOff)?,
-        () = until_too_old(state, context, choice), if !has_begun => return Err(Break::Withdrawn),
+        piece = read_piece(opened, splitter) => piece.map_err(AnswerFailure::BrokeOff)?,
+        () = until_weights_too_old(state, context, choice), if !has_begun => return Err(AnswerFailure::Withdrawn),
     };
     opened.note_begun(state, context, choice);
     Ok(piece)
 }
 
 /// Reads until there are whole events, or the end.
-async fn read_piece(opened: &mut Opened, splitter: &mut EventSplitter) -> Result<Piece, String> {
+async fn read_piece(
+    opened: &mut OpenAnswer,
+    splitter: &mut EventSplitter,
+) -> Result<Piece, String> {
     let is_stream = opened.answer.status().is_success();
     loop {
         let next = opened.answer.next().await;
@@ -141,7 +144,9 @@
 
 /// The next bytes of the response. Once the stream is cut nothing more comes: the connection is closed,
 /// and the response must not be ended as if it were whole.
-async fn next_piece(mut relay: Relay) -> Option<(Result<ntex::util::Bytes, Infallible>, Relay)> {
+async fn next_response_bytes(
+    mut relay: Relay,
+) -> Option<(Result<ntex::util::Bytes, Infallible>, Relay)> {
     if relay.has_ended {
         return None;
     }
@@ -159,13 +164,13 @@
     /// Whole events; nothing at the end of the answer, and where the stream was cut.
     async fn next_events(&mut self) -> Option<Bytes> {
         loop {
-            let piece = match self.first.take() {
+            let piece = match self.first_piece.take() {
                 Some(piece) => Ok(piece),
                 None => self.read_before_deadline().await,
             };
             match piece {
                 Ok(Piece::Events(events)) => {
-                    self.account.passed_on();
+                    self.tracker.record_events();
                     return Some(events);
                 }
                 Ok(Piece::End) => {
@@ -173,7 +178,7 @@
                     return None;
                 }
                 Err(why) => {
-                    if !self.go_on_elsewhere(&why).await {
+                    if !self.resume_elsewhere(&why).await {
                         return None;
                     }
                 }
@@ -181,11 +186,11 @@
         }
     }
 
-    async fn read_before_deadline(&mut self) -> Result<Piece, Break> {
+    async fn read_before_deadline(&mut self) -> Result<Piece, AnswerFailure> {
         let left = self.time_left();
         let caller = self.caller.clone();
-        let broke_off = |cause: &str| Err(Break::BrokeOff(cause.to_owned()));
-        let reading = read_from_begin(
+        let broke_off = |cause: &str| Err(AnswerFailure::BrokeOff(cause.to_owned()));
+        let reading = read_or_withdraw(
             &self.state,
             &self.context,
             &mut self.attempt,
@@ -196,29 +201,34 @@
                 Ok(piece) => piece,
                 Err(_) => broke_off("the request's time is over"),
             },
-            () = caller_gone(caller) => broke_off("the caller has left"),
+            () = caller_disconnected(caller) => broke_off("the caller has left"),
         }
     }
 
     fn time_left(&self) -> Duration {
-        let last = self.context.deadline + LAST_WORD;
+        let last = self.context.deadline + DEADLINE_GRACE;
         last.saturating_duration_since(Instant::now())
     }
 
     /// Goes on at another replica after the last event; false where the stream is cut.
-    async fn go_on_elsewhere(&mut self, why: &Break) -> bool {
+    async fn resume_elsewhere(&mut self, why: &AnswerFailure) -> bool {
         let cause = why.cause();
         if self.caller.as_ref().is_some_and(IoRef::is_closed) {
             self.cut("the caller has left");
             return false;
         }
-        let is_over = self.time_left() <= LAST_WORD;
-        if is_over || self.attempts.broke_off(&self.attempt.choice, why).is_err() {
+        let is_over = self.time_left() <= DEADLINE_GRACE;
+        if is_over
+            || self
+                .attempts
+                .handle_failed_answer(&self.attempt.choice, why)
+                .is_err()
+        {
             self.cut(cause);
             return false;
         }
         self.attempt.opened.answer.close();
-        self.splitter.discard_part();
+        self.splitter.discard_partial_event();
         let last_id = self.splitter.last_id().map(str::to_owned);
         match self.next_attempt(last_id.as_deref()).await {
             Ok(attempt) if attempt.opened.answer.status().is_success() => {
@@ -253,7 +263,7 @@
             next = tokio::time::timeout(left, next) => {
                 next.unwrap_or_else(|_| ended("the request's time is over"))
             }
-            () = caller_gone(caller) => ended("the caller has left"),
+            () = caller_disconnected(caller) => ended("the caller has left"),
         }
     }
 
@@ -261,13 +271,13 @@
         self.has_ended = true;
         note_survived(&self.state, &self.context);
         let status = self.attempt.opened.answer.status().as_u16();
-        self.account
-            .completed(self.attempt.choice.replica.id(), status);
+        self.tracker
+            .record_completion(self.attempt.choice.replica.id(), status);
     }
 
     /// Closes the caller's connection without the end of the answer.
     fn cut(&mut self, cause: &str) {
-        self.account.cut(cause);
+        self.tracker.record_cut(cause);
         self.attempt.opened.answer.close();
         if let Some(caller) = &self.caller {
             caller.close();
@@ -275,7 +285,7 @@
     }
 }
 
-async fn caller_gone(caller: Option<IoRef>) {
+async fn caller_disconnected(caller: Option<IoRef>) {
     match caller {
         Some(caller) => caller.on_disconnect().await,
         None => std::future::pending().await,
--- a/crates/gateway/src/pipeline/withdrawal.rs
+++ b/crates/gateway/src/pipeline/withdrawal.rs
@@ -37,7 +37,11 @@
 }
 
 /// Whether a request that is sent now would have to be withdrawn at once.
-pub fn is_too_old(state: &GatewayState, context: &RequestContext, choice: &Choice) -> bool {
+pub fn are_weights_too_old(
+    state: &GatewayState,
+    context: &RequestContext,
+    choice: &Choice,
+) -> bool {
     let weights = context.prompt().zip(choice.weights_version);
     weights.is_some_and(|(prompt, version)| {
         let deadline = state.times.get().weights_deadline;
@@ -48,13 +52,17 @@
 }
 
 /// Ends when a request that has not begun at the chosen replica must not wait there any longer.
-pub async fn until_too_old(state: &GatewayState, context: &RequestContext, choice: &Choice) {
+pub async fn until_weights_too_old(
+    state: &GatewayState,
+    context: &RequestContext,
+    choice: &Choice,
+) {
     let weights = context.prompt().zip(choice.weights_version);
     let Some((prompt, version)) = weights else {
         return std::future::pending().await;
     };
     loop {
-        let named = state.weights_named.notified();
+        let named = state.weights_updated.notified();
         let deadline = state.times.get().weights_deadline;
         let left = {
             let wanted = state.weights.borrow();
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -75,7 +75,7 @@
         let (callers, health) = listeners.addresses()?;
         let status = Arc::new(SharedStatus::default());
         let (stop, stopped) = oneshot::channel();
-        let (started, is_started) = mpsc::channel();
+        let (started, start_signal) = mpsc::channel();
         let thread_status = Arc::clone(&status);
         let thread_settings = settings.clone();
         let thread = std::thread::Builder::new()
@@ -102,7 +102,7 @@
             stop: Some(stop),
             thread: Some(thread),
         };
-        if is_started.recv().is_err() {
+        if start_signal.recv().is_err() {
             running.join()?;
             return Err(anyhow!("the gateway ended before it served"));
         }
@@ -124,20 +124,20 @@
     ///
     /// The gateway's thread failed.
     pub fn stop(mut self) -> anyhow::Result<()> {
-        self.finish();
-        self.end()
+        self.drain();
+        self.shut_down()
     }
 
     /// The first part of a planned stop: not ready any more, then open requests end. The process should end right after
     /// it, see [`RunningGateway::stop`] for one that goes on.
-    pub fn finish(&self) {
+    pub fn drain(&self) {
         self.status.is_stopping.store(true, Ordering::Release);
         log_event!(
             gateway::GATEWAY_STOPPING,
             "open={}",
             self.status.open_requests.load(Ordering::Acquire)
         );
-        stop::wait_for_callers(&self.status, self.settings.times.stop_grace);
+        stop::wait_for_open_requests(&self.status, self.settings.times.stop_grace);
         log_event!(
             gateway::GATEWAY_STOPPED,
             "open={}",
@@ -161,17 +161,17 @@
 
     /// Ends at once, as a crash would.
     pub fn kill(mut self) {
-        self.end_and_log();
+        self.shut_down_and_log();
     }
 
-    fn end(&mut self) -> anyhow::Result<()> {
+    fn shut_down(&mut self) -> anyhow::Result<()> {
         self.stop = None;
         self.join()
     }
 
     /// Ends where nobody takes a failure of the gateway's thread in.
-    fn end_and_log(&mut self) {
-        if let Err(error) = self.end() {
+    fn shut_down_and_log(&mut self) {
+        if let Err(error) = self.shut_down() {
             log::warn!("the gateway ended with {error:#}");
         }
     }
@@ -188,7 +188,7 @@
 
 impl Drop for RunningGateway {
     fn drop(&mut self) {
-        self.end_and_log();
+        self.shut_down_and_log();
     }
 }
 
--- a/crates/gateway/src/standstill.rs
+++ b/crates/gateway/src/standstill.rs
@@ -83,7 +83,7 @@
         let total = total();
         if total > known {
             known = total;
-            state.weights_named.notify_waiters();
+            state.weights_updated.notify_waiters();
         }
         tokio::time::sleep(TICK).await;
     }
--- a/crates/gateway/src/store/client.rs
+++ b/crates/gateway/src/store/client.rs
@@ -173,7 +173,7 @@
     lease.on_store_position(state.now(), position);
     let before = state.store_position.get();
     if position.era > before.era {
-        state.store_era_begin.set(position);
+        state.store_era_start.set(position);
     }
     if position.era > before.era && before.revision > 0 {
         log_event!(
--- a/crates/gateway/src/store/configuration_reader.rs
+++ b/crates/gateway/src/store/configuration_reader.rs
@@ -135,7 +135,9 @@
         if has_version(state, newer.version) {
             // Even if the store already has a later version: the proof shows that this one was the newest when the proof's read
             // began.
-            state.currency.prove(state.held_version(), newer.proof);
+            state
+                .currency
+                .prove(state.configuration_version(), newer.proof);
             return NewerOutcome::Applied;
         }
     }
@@ -161,7 +163,7 @@
 
 /// Whether the configuration in force has `version` or a later one.
 fn has_version(state: &GatewayState, version: u64) -> bool {
-    state.configuration.load().is_some() && state.held_version() >= version
+    state.configuration.load().is_some() && state.configuration_version() >= version
 }
 
 /// Whether this gateway leaves the proof to those that may call the store: while the store is down for all, every request asks
@@ -216,8 +218,8 @@
             }
             let position = Some(position);
             let proof = Proof { began, position };
-            state.currency.prove(state.held_version(), proof);
-            if state.held_version() < highest {
+            state.currency.prove(state.configuration_version(), proof);
+            if state.configuration_version() < highest {
                 state.currency.note_lost_version(highest);
             }
             let was_lost = note_store_regained(state, is_reachable);
--- a/crates/gateway/src/store/copied_entries.rs
+++ b/crates/gateway/src/store/copied_entries.rs
@@ -52,7 +52,7 @@
 /// Records the store position of a replica's entry: an entry written after the first answer of its era does not come from the
 /// copy, so it is no longer held back.
 pub(super) fn note_written(state: &GatewayState, id: &str, position: StorePosition) {
-    let begin = state.store_era_begin.get();
+    let begin = state.store_era_start.get();
     if position.era == begin.era && position.revision > begin.revision {
         state.gone_lives.borrow_mut().forget(id);
     }
@@ -72,5 +72,5 @@
     for entry in released {
         state.apply(Change::Put(Item::Replica(entry)));
     }
-    state.registry_changed();
+    state.publish_changes();
 }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -19,7 +19,7 @@
 use crate::peers::message::{Change, Item, ItemKey, WireDaemon};
 use crate::protocol::{ObjectContent, ObjectKind, StoredObject};
 use crate::rollout::{LEASE_NAME, record_in};
-use crate::state::{GatewayState, JUST_STARTED};
+use crate::state::{GatewayState, STARTUP_WINDOW};
 
 /// How long a watch waits for a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
@@ -97,7 +97,7 @@
 /// Whether a list is not urgent: gateways tell each other what is quarantined, so one that has run for a while knows it from
 /// the others.
 fn is_list_deferrable(state: &GatewayState, kind: ObjectKind) -> bool {
-    kind == ObjectKind::Quarantine && state.now() > JUST_STARTED
+    kind == ObjectKind::Quarantine && state.now() > STARTUP_WINDOW
 }
 
 /// The list that a restarted gateway reads at its start, whichever gateway reads the store for the group, since callers use it
@@ -150,7 +150,7 @@
                 for event in page.events {
                     apply_event(state, kind, event.object, event.is_deleted);
                 }
-                state.registry_changed();
+                state.publish_changes();
                 position = position.max(page.position);
                 if kind == ObjectKind::Weights {
                     state.known_namings.note_read(position);
@@ -248,7 +248,7 @@
     for object in objects {
         apply_event(state, kind, object, false);
     }
-    state.registry_changed();
+    state.publish_changes();
 }
 
 /// The key under which gateways exchange a replica or gateway; `None` for other kinds.
@@ -281,7 +281,7 @@
         Ok(ObjectContent::Configuration(_)) => apply_configuration(state, object),
         Ok(ObjectContent::Replica(entry)) => {
             copied_entries::note_written(state, &entry.incarnation.id, object.position);
-            state.apply_stored(&entry);
+            state.apply_stored_entry(&entry);
         }
         Ok(ObjectContent::Weights(weights)) => {
             follow_weights::apply_written(state, &weights, object.position);
@@ -343,7 +343,7 @@
     configuration: Configuration,
     holder: &str,
 ) {
-    let before = state.held_version();
+    let before = state.configuration_version();
     if configuration.version <= before {
         return;
     }
--- a/crates/gateway/src/store/follow_weights.rs
+++ b/crates/gateway/src/store/follow_weights.rs
@@ -13,7 +13,7 @@
 use super::StorePosition;
 use super::follow::note_unreadable;
 use crate::protocol::{ModelVersion, ObjectContent, ObjectKind, StoredObject};
-use crate::state::{GatewayState, JUST_STARTED};
+use crate::state::{GatewayState, STARTUP_WINDOW};
 use crate::suspected_weights::Suspicion;
 use crate::weights::Since;
 
@@ -170,7 +170,7 @@
     // after its start has learned of them from others.
     let now = Instant::now();
     let was_in_trouble = state.store_outage.had_recent_failure(now);
-    let listing_possible_for = match was_in_trouble || state.now() > JUST_STARTED {
+    let listing_possible_for = match was_in_trouble || state.now() > STARTUP_WINDOW {
         true => Duration::ZERO,
         false => state.now(),
     };
@@ -198,7 +198,7 @@
 pub fn name_weights(state: &GatewayState, weights: &ModelVersion, since: Since) {
     let age = since.moment().elapsed();
     let is_newest = state.weights.borrow_mut().add(weights, since);
-    state.weights_named.notify_waiters();
+    state.weights_updated.notify_waiters();
     if !is_newest {
         return;
     }
