--- a/crates/gateway/src/store/own_entry.rs
+++ b/crates/gateway/src/store/own_entry.rs
@@ -40,11 +40,11 @@
     era_changed_ago.is_some_and(|ago| ago < MISSING_ENTRY_GRACE)
 }
 
-/// The delay between learning of a new era and rewriting the entry, for the gateway `name` among `daemons` gateways.
-pub fn write_delay(name: &str, daemons: usize) -> Duration {
-    let daemons = u32::try_from(daemons).unwrap_or(u32::MAX);
+/// The delay between learning of a new era and rewriting the entry, for the gateway `name` among `gateways` gateways.
+pub fn write_delay(name: &str, gateways: usize) -> Duration {
+    let gateways = u32::try_from(gateways).unwrap_or(u32::MAX);
     let spread = WRITE_SPREAD_PER_DAEMON
-        .saturating_mul(daemons)
+        .saturating_mul(gateways)
         .min(MAX_WRITE_SPREAD);
     let place = name_digest(name) as f64 / u64::MAX as f64;
     spread.mul_f64(place)
@@ -61,7 +61,7 @@
             continue;
         }
         let daemons = state.peers.directory().count;
-        tokio::time::sleep(write_delay(&state.settings.name, daemons)).await;
+        tokio::time::sleep(write_delay(&state.settings.name, gateways)).await;
         while !write_own_entry(&state, None).await {
             tokio::time::sleep(RETRY_DELAY).await;
         }
