--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -1,24 +1,24 @@
-//! How often requests may be sent again.
+//! Budgets for sending requests again (retries).
 //!
-//! All gateways together may burden a service with so many repeats for each request and a few more in each
-//! window. A daemon can't ask the others before each repeat, so it spends a part that is safe whatever
-//! they do: what its own requests earn, and its share of the few more.
+//! All gateways together may send a service a fixed ratio of retries per request, and a few more (the slack) in each
+//! window. A gateway can't ask the others before each retry, so it only spends an amount that is safe whatever the
+//! others do: what its own requests earn, and its share of the slack.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 
 use driftspring_settings::GatewayRetries;
 
-/// The share of the allowed ratio that is spent; the rest is for requests that are counted elsewhere.
+/// Share of the allowed ratio that is spent; the rest is a margin for requests that are counted elsewhere.
 const RATIO_SHARE_USED: f64 = 0.85;
 
-/// The share of the slack that is spent by all gateways together.
+/// Share of the slack that all gateways together spend.
 const SLACK_SHARE_USED: f64 = 0.7;
 
-/// Daemons that share the slack at the least, since more may come at any time.
+/// Minimum number of gateways among which the slack is divided, since more may start at any time.
 const MIN_GATEWAYS: f64 = 8.0;
 
-/// The budgets of all services.
+/// Retry budgets of all services.
 #[derive(Debug)]
 pub struct RetryBudgets {
     ratio: Cell<f64>,
@@ -28,7 +28,7 @@
 }
 
 impl RetryBudgets {
-    /// Budgets under `settings`.
+    /// Creates budgets under `settings`.
     pub fn new(settings: &GatewayRetries) -> Self {
         Self {
             ratio: Cell::new(settings.ratio * RATIO_SHARE_USED),
@@ -44,12 +44,12 @@
         self.slack.set(settings.slack * SLACK_SHARE_USED);
     }
 
-    /// Takes in how many gateways share the budget.
+    /// Sets the number of gateways that share the budget.
     pub fn set_gateways(&self, gateways: usize) {
         self.gateways.set((gateways as f64).max(MIN_GATEWAYS));
     }
 
-    /// Counts a request for `service`.
+    /// Adds what one request of `service` earns to its balance.
     pub fn earn(&self, service: &str) {
         let limit = self.limit();
         let mut balances = self.balances.borrow_mut();
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Spends one repeat for `service`; false where the budget is spent.
+    /// Spends one retry for `service`; returns false if the balance does not cover it.
     pub fn try_spend(&self, service: &str) -> bool {
         let limit = self.limit();
         let mut balances = self.balances.borrow_mut();
@@ -73,7 +73,7 @@
         is_left
     }
 
-    /// Repeats that may be balances up.
+    /// Maximum balance, in retries.
     fn limit(&self) -> f64 {
         (self.slack.get() / self.gateways.get()).max(1.0)
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,7 +1,7 @@
-//! Sockets, readiness, start and stop.
+//! Sockets, readiness, start and stop of a gateway.
 //!
-//! One worker thread serves callers and follows the store: the machines have a fraction of a core, and a
-//! second thread would only add wake-ups. A second small server answers whether the gateway is ready.
+//! One worker thread serves callers and follows the store: the machines have a fraction of a core, and a second thread
+//! would only add wake-ups. A second small server answers readiness probes.
 
 mod listeners;
 mod stop;
@@ -36,13 +36,13 @@
 use crate::store;
 use listeners::Listeners;
 
-/// How long an idle connection of a caller is kept.
+/// How long an idle connection of a caller is kept open.
 const KEEP_ALIVE: Seconds = Seconds(75);
 
-/// How long the head of a request may take to come.
+/// Time limit for a request's head to arrive.
 const HEAD_TIMEOUT: Seconds = Seconds(30);
 
-/// The largest head of a request, in bytes.
+/// Maximum size of a request's head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// Starts gateways.
@@ -50,11 +50,11 @@
 
 /// A gateway that runs in this process.
 pub struct RunningGateway {
-    /// What its threads share.
+    /// Status that its threads share.
     pub status: Arc<SharedStatus>,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where it tells whether it is ready.
+    /// Address for readiness probes.
     pub health: SocketAddr,
     settings: GatewaySettings,
     stop: Option<oneshot::Sender<()>>,
@@ -85,9 +85,9 @@
                 system.block_on(async move {
                     let servers =
                         Servers::start(&thread_settings, &platform, &thread_status, listeners)?;
-                    // Nobody waits any more where the start was given up.
+                    // If the receiver is gone, the start was given up.
                     let _ = started.send(());
-                    // A sender that is gone means that the process ends.
+                    // A dropped sender also means that the gateway has to stop.
                     let _ = stopped.await;
                     servers.stop().await;
                     Ok(())
@@ -118,7 +118,7 @@
 }
 
 impl RunningGateway {
-    /// A planned stop: not ready any more, then open requests end, then the gateway.
+    /// Planned stop: reports itself as not ready, waits for open requests to end, then ends the gateway.
     ///
     /// # Errors
     ///
@@ -128,8 +128,8 @@
         self.shut_down()
     }
 
-    /// The first part of a planned stop: not ready any more, then open requests end. The process should end right after
-    /// it, see [`RunningGateway::stop`] for one that goes on.
+    /// First part of a planned stop: reports itself as not ready, then waits for open requests to end. The process
+    /// should end right after it; in a process that goes on, use [`RunningGateway::stop`].
     pub fn drain(&self) {
         self.status.is_stopping.store(true, Ordering::Release);
         log_event!(
@@ -145,7 +145,7 @@
         );
     }
 
-    /// Reads the settings file again. What listens stays as it is; faulty settings change nothing.
+    /// Reads the settings file again. Listening addresses stay as they are; invalid settings change nothing.
     pub fn reload(&self, file: &Path) {
         match load_gateway(file) {
             Ok(settings) => {
@@ -169,10 +169,10 @@
         self.join()
     }
 
-    /// Ends where nobody takes a failure of the gateway's thread in.
+    /// Ends the gateway and logs a failure of its thread, where there is no caller to return it to.
     fn shut_down_and_log(&mut self) {
         if let Err(error) = self.shut_down() {
-            log::warn!("the gateway ended with {error:#}");
+            log::warn!("the gateway failed: {error:#}");
         }
     }
 
@@ -192,7 +192,7 @@
     }
 }
 
-/// The HTTP servers of a gateway.
+/// HTTP servers of a gateway.
 struct Servers {
     callers: Server,
     health: Server,
--- a/crates/gateway/src/server/listeners.rs
+++ b/crates/gateway/src/server/listeners.rs
@@ -1,4 +1,4 @@
-//! The sockets of a gateway, bound before anything else starts.
+//! Sockets of a gateway, bound before anything else starts.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
@@ -9,18 +9,18 @@
 
 use crate::upstream::set_options;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 4096;
 
-/// Every socket that a gateway listens on.
+/// All sockets that a gateway listens on.
 pub struct Listeners {
     /// For callers.
     pub callers: TcpListener,
-    /// For those who ask whether it is ready.
+    /// For readiness probes.
     pub health: TcpListener,
-    /// For those who collect metrics.
+    /// For the collection of metrics.
     pub metrics: Option<TcpListener>,
-    /// For other daemons.
+    /// For datagrams of other gateways.
     pub peers: UdpSocket,
 }
 
@@ -28,7 +28,8 @@
     /// Binds every address of `listen`.
     pub fn bind(listen: &GatewayListen) -> anyhow::Result<Self> {
         let callers = bind(listen.callers, "callers")?;
-        // Accepted connections take over these options: a caller that is gone without a word is noticed.
+        // Accepted connections inherit these options, which detect callers that vanish without closing their
+        // connections.
         set_options(&SockRef::from(&callers)).context("setting the options of the listener")?;
         let metrics = listen.metrics.map(|address| bind(address, "metrics"));
         Ok(Self {
@@ -39,7 +40,7 @@
         })
     }
 
-    /// The addresses for callers and for readiness.
+    /// Addresses for callers and for readiness probes.
     pub fn addresses(&self) -> anyhow::Result<(SocketAddr, SocketAddr)> {
         Ok((self.callers.local_addr()?, self.health.local_addr()?))
     }
@@ -47,7 +48,7 @@
 
 fn bind_udp(address: SocketAddr) -> anyhow::Result<UdpSocket> {
     let socket = UdpSocket::bind(address)
-        .with_context(|| format!("binding UDP {address} for other daemons"))?;
+        .with_context(|| format!("binding UDP {address} for other gateways"))?;
     socket.set_nonblocking(true)?;
     Ok(socket)
 }
--- a/crates/gateway/src/server/stop.rs
+++ b/crates/gateway/src/server/stop.rs
@@ -1,4 +1,4 @@
-//! The wait of a planned stop.
+//! The waits of a planned stop.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -8,24 +8,23 @@
 
 use crate::state::{GatewayState, SharedStatus};
 
-/// How long new requests may still come: what sends callers here asks each second, and believes the
-/// second answer.
+/// How long new requests may still arrive: the load balancer probes each second and acts on the second failed probe.
 const CALLER_REDIRECT_WINDOW: Duration = Duration::from_millis(2600);
 
-/// How long there must be no open request before the end.
+/// How long no request must have been open before the stop is complete.
 const QUIET_WINDOW: Duration = Duration::from_millis(250);
 
-/// How often a serving gateway looks whether it is to close connections.
+/// Interval at which a serving gateway checks whether it has to close connections.
 const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often open requests are counted.
+/// Interval at which open requests are checked during a stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The share of the grace after which the gateway ends whatever is open.
+/// Share of the grace period after which the gateway ends even if requests are open.
 const GRACE_SHARE_USED: f64 = 0.93;
 
-/// Waits until callers have turned away and no request is open, or the grace is nearly over. Once they had
-/// the time to turn away, new requests are refused, since they might not end in time.
+/// Waits until callers have been redirected and no request is open, or the grace period is nearly over. New requests
+/// are refused once callers had the time to move, since those requests might not end in time.
 pub fn wait_for_open_requests(status: &SharedStatus, grace: Duration) {
     let stop_began_at = Instant::now();
     let cutoff = stop_began_at + grace.mul_f64(GRACE_SHARE_USED);
@@ -44,7 +43,7 @@
     }
 }
 
-/// Closes callers' connections that have no open request, once new requests are refused. Callers then use
+/// Closes callers' connections that have no open request, once new requests are refused. Callers then connect to
 /// another gateway without having been refused.
 pub async fn close_idle_connections(state: Rc<GatewayState>) {
     while !state.status.is_refusing_requests() {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,5 +1,5 @@
-//! What the parts of one gateway share. All of it lives on one thread, the worker that serves callers;
-//! what other threads see is in [`SharedStatus`].
+//! State that the parts of one gateway share. All of it lives on the worker thread that serves callers; what other
+//! threads see is in [`SharedStatus`].
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -41,38 +41,38 @@
 use crate::upstream::Pool;
 use crate::weights::WantedWeights;
 
-/// How old the proof of the configuration may be while callers are sent here: those with keys are served
-/// badly at a daemon that has not heard of the store for longer.
+/// Maximum age of the proof that the configuration is current, for the gateway to report itself as ready. A gateway
+/// that has not heard from the store for longer refuses requests with keys.
 const READY_MAX_PROOF_AGE: Duration = Duration::from_millis(2800);
 
-/// How long after the store's return from a copy replicas stay in use whose entries it lacks, so that they can write them
-/// again. Less than the time for which one that has left may still get requests (`drainMs`, 2 s), since an entry that is
-/// missing may also be that of such a one.
+/// How long after the store has come back from a copy replicas without an entry stay in use, so that they can write
+/// their entries again. It is shorter than the time for which a replica that has left may still get requests
+/// (`drainMs`, 2 s), since a missing entry may also be that of such a replica.
 const MISSING_ENTRY_RETENTION: Duration = Duration::from_millis(1800);
 
-/// For how long after its start a daemon may not have listed the replicas yet; a start while the store is slow
-/// (60 times 4 ms an answer, in two pages) stays well below it.
+/// Time after the start within which a gateway may not have listed the replicas yet. A start with a slow store (60
+/// times the normal 4 ms per answer, two pages) stays well below it.
 pub(crate) const STARTUP_WINDOW: Duration = Duration::from_secs(3);
 
-/// What the threads of a gateway share.
+/// Status that the threads of a gateway share.
 #[derive(Debug, Default)]
 pub struct SharedStatus {
     /// Whether the configuration and the replicas are known and current.
     pub is_synced: AtomicBool,
     /// Whether a planned stop has begun.
     pub is_stopping: AtomicBool,
-    /// Whether a planned stop has gone so far that new requests are refused.
+    /// Whether a planned stop has reached the phase in which new requests are refused.
     pub is_refusing_requests: AtomicBool,
-    /// Requests that are open.
+    /// Number of open requests.
     pub open_requests: AtomicU32,
-    /// What is counted.
+    /// Metrics of this gateway.
     pub metrics: GatewayMetrics,
-    /// Settings that were read again and are not in force yet.
+    /// Settings that were reloaded and are not in force yet.
     pub reloaded: Mutex<Option<GatewaySettings>>,
 }
 
 impl SharedStatus {
-    /// Whether new connections should come here.
+    /// Whether new connections should be sent to this gateway.
     pub fn is_ready(&self) -> bool {
         self.is_synced.load(Ordering::Acquire) && !self.is_stopping()
     }
@@ -82,96 +82,99 @@
         self.is_stopping.load(Ordering::Acquire)
     }
 
-    /// Whether new requests are refused, since a planned stop is nearly over.
+    /// Whether new requests are refused because a planned stop is nearly over.
     pub fn is_refusing_requests(&self) -> bool {
         self.is_refusing_requests.load(Ordering::Acquire)
     }
 }
 
-/// The state of one gateway.
+/// State of one gateway.
 pub struct GatewayState {
-    /// The settings.
+    /// Settings as read at the start.
     pub settings: GatewaySettings,
-    /// The times in force; a reload of the settings changes them.
+    /// Times in force; a reload of the settings changes them.
     pub times: Cell<GatewayTimes>,
-    /// How the platform speaks.
+    /// Protocols of the platform: request headers, store and replicas.
     pub platform: Arc<dyn Platform>,
-    /// What other threads see.
+    /// Status visible to other threads.
     pub status: Arc<SharedStatus>,
-    /// The configuration in force.
+    /// Configuration in force.
     pub configuration: ArcSwapOption<Configuration>,
-    /// Where the store had it; the default where another daemon handed it on.
+    /// Store position of the configuration in force; the default if another gateway handed it on.
     pub configuration_position: Cell<StorePosition>,
-    /// Since when the configuration is known to be the newest.
+    /// How recently the configuration was proved to be the newest.
     pub currency: Currency,
-    /// The replicas.
+    /// Registry of the replicas.
     pub registry: Registry,
-    /// The wanted weights.
+    /// Wanted versions of the weights.
     pub weights: RefCell<WantedWeights>,
-    /// Wakes requests that wait at replicas, when a version of weights becomes known.
+    /// Wakes requests that wait at replicas when a version of the weights becomes known.
     pub weights_updated: Notify,
-    /// Requests that end the replicas that run them.
+    /// Requests that crash the replicas that run them.
     pub quarantine: Quarantine,
-    /// How often requests may be sent again.
+    /// Budgets for sending requests again.
     pub retry_budgets: RetryBudgets,
-    /// The limits of tenants.
+    /// Quotas of the tenants.
     pub quotas: Quotas,
-    /// Permits to send to replicas that limit their rate.
+    /// Permits to send to replicas that limit their request rate.
     pub permits: Permits,
-    /// What replicas say of themselves that other daemons are to be told.
+    /// Notices from replicas that other gateways have to be told.
     pub notice_news: NoticeNews,
-    /// Which replicas have said something of themselves.
+    /// Which replicas have given a notice.
     pub notice_survey: NoticeSurvey,
-    /// What other daemons tell, and are told.
+    /// Exchange with other gateways.
     pub peers: Peers,
     /// Wakes requests that wait for the first list of replicas.
     replicas_listed: Notify,
-    /// What stores of cached prompt work keep.
+    /// Contents of the KV stores, which keep cached prompt work.
     pub cached: CachedParts,
-    /// Which replicas keep which prompts.
+    /// Which replicas have which prompts cached.
     pub holders: PromptHolders,
-    /// The callers' connections.
+    /// Connections of the callers.
     pub callers: CallerConnections,
-    /// The connections to the store.
+    /// Connections to the object store.
     pub store: Rc<Pool>,
-    /// Ends the waits for a store that is down.
+    /// Outage of the store; ends waits for a store that is down.
     pub store_outage: StoreOutage,
-    /// What others say that can't be read.
+    /// Objects and messages that could not be read.
     pub rejections: Rejections,
-    /// Up to when all namings of weights are known here.
+    /// Time up to which all namings of weights are known here.
     pub known_namings: KnownNamings,
-    /// Weights that may have been named although nobody heard of it.
+    /// Versions of the weights that may have been named without any gateway having learned of it.
     pub suspected_weights: RefCell<SuspectedWeights>,
-    /// How far the store had come when.
+    /// Store positions with the time at which they were reached.
     pub store_progress: RefCell<StoreProgress>,
-    /// The latest era of the store that is known.
+    /// Latest known era of the store.
     pub store_eras: StoreEraTracker,
-    /// The latest position of the store that is known.
+    /// Latest known position of the store.
     pub store_position: Cell<StorePosition>,
-    /// The first position that was read of the store's latest era.
+    /// First position that was read in the store's latest era.
     pub store_era_start: Cell<StorePosition>,
-    /// Lives of replicas whose entries are gone, and must not come back with a copy of the store.
+    /// Incarnations of replicas whose entries were removed. A copy of the store must not bring them back.
     pub gone_lives: RefCell<GoneLives>,
-    /// When this daemon's entry was last found in the store, or written there, from the start of the process; at its start
-    /// where neither has been.
+    /// When this gateway's entry was last found in or written to the store, measured from the process start; zero
+    /// before the first time.
     pub own_entry_written_at: Cell<Duration>,
-    /// The lease under which orders are given.
+    /// Lease that permits this gateway to give orders to replicas.
     pub lease: RefCell<OrderLease>,
-    /// Wakes the task that brings replicas to new weights.
+    /// Wakes the task that rolls out new weights to replicas.
     pub rollout_wanted: Notify,
-    /// A number that no other life of this daemon has.
+    /// Random number that identifies this incarnation of the gateway.
     pub incarnation: u64,
-    /// How the traffic of each route was divided so far.
+    /// Credits of each route's services for the weighted division of its traffic.
     pub backend_credits: RefCell<HashMap<String, Vec<f64>>>,
+    /// Whether changes were applied that are not published yet.
     has_pending_changes: Cell<bool>,
-    /// Whether some of these concern replicas.
+    /// Whether some of these changes concern replicas.
     has_pending_replicas: Cell<bool>,
+    /// Number of draws so far, see [`GatewayState::draw`].
     draw_count: Cell<u64>,
+    /// Start of this gateway.
     started_at: Instant,
 }
 
 impl GatewayState {
-    /// The state of a gateway that knows nothing yet.
+    /// Creates the state of a gateway that has learned nothing yet.
     pub fn new(
         settings: GatewaySettings,
         platform: Arc<dyn Platform>,
@@ -229,12 +232,12 @@
         })
     }
 
-    /// The time since this gateway's start, of the steady clock.
+    /// Time since this gateway's start, on the monotonic clock.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// Takes in a change of a replica or a daemon; see [`GatewayState::publish_changes`].
+    /// Applies a change of a replica or a gateway; [`GatewayState::publish_changes`] puts it into force.
     pub fn apply(&self, change: Change) {
         if self.is_from_earlier_incarnation(&change) {
             return;
@@ -271,8 +274,8 @@
         self.has_pending_changes.set(true);
     }
 
-    /// Takes in an entry of a replica as the store has it. One that says nothing of its life, where the one before it did,
-    /// is that of another writer, who wrote over the replica's.
+    /// Applies a replica's entry as read from the store. An entry without a start time, where the previous one had one,
+    /// was written by another writer over the replica's own entry.
     pub fn apply_stored_entry(&self, entry: &ReplicaEntry) {
         let told = WireReplica::from(entry);
         let is_foreign = told.born.is_none() && self.known_start_time(&told.id).is_some();
@@ -282,8 +285,8 @@
         });
     }
 
-    /// A life that has said that it is leaving never stays after all, as in [`Registry::put`]. Daemons that ask after a late
-    /// write over that entry must be told of the leaving: they may not have heard of it.
+    /// An incarnation that has announced that it is leaving never goes back to ready, as in [`Registry::put`]. Gateways
+    /// that ask after a late write over that entry must be told that it is leaving, since they may not have heard it.
     fn with_known_draining(&self, change: Change) -> Change {
         let Change::Put(Item::Replica(mut told)) = change else {
             return change;
@@ -296,8 +299,8 @@
         Change::Put(Item::Replica(told))
     }
 
-    /// Whether a change tells of an earlier life than the one known of the same replica: that is old news. A daemon of an
-    /// earlier version tells no births at all, and must not make this one forget its replicas.
+    /// Whether a change is about an earlier incarnation of the replica than the known one, and so outdated. A gateway
+    /// of an earlier version sends no start times at all, and must not make this one forget its replicas.
     fn is_from_earlier_incarnation(&self, change: &Change) -> bool {
         match change {
             Change::Put(Item::Replica(told)) => told.born < self.known_start_time(&told.id),
@@ -305,7 +308,7 @@
         }
     }
 
-    /// When the life began that is known of a replica, where its entry said so.
+    /// Start time of the known incarnation of a replica, if its entry gave one.
     fn known_start_time(&self, id: &str) -> Option<u64> {
         let log = self.peers.log.borrow();
         match log.get(&ItemKey::Replica(id.to_owned())) {
@@ -314,7 +317,7 @@
         }
     }
 
-    /// Takes in that a replica has started again, where its entry says so: ends are named after lives.
+    /// Tells the quarantine that a replica has restarted, if its entry says so: crashes are recorded by incarnation.
     fn note_restart(&self, entry: &ReplicaEntry) {
         let known = self.registry.get(&entry.incarnation.id);
         if let Some(before) = known.filter(|known| known.life.is_before(&entry.incarnation)) {
@@ -323,7 +326,7 @@
         }
     }
 
-    /// Takes in that the entry of a replica is gone, which was `known` until then.
+    /// Handles the removal of a replica's entry, which was `known` until then.
     fn handle_missing_entry(&self, id: &str, known: Option<&Item>) {
         let now = Instant::now();
         let failed_at = self.store_outage.list_failed_at();
@@ -336,7 +339,7 @@
             if let Some(gone) = listed {
                 self.quarantine.note_gone_life(gone.life_hash);
             }
-            // One that lapsed in an outage may live, and is not remembered as gone.
+            // A replica that lapsed during an outage may be alive, and is not recorded as gone.
             store::copied_entries::note_gone(self, id, known);
             if has_left {
                 self.gone_lives.borrow_mut().note_left(id);
@@ -354,15 +357,15 @@
         );
     }
 
-    /// Until when a replica stays in use whose entry is found to be missing at `now`, in a store that came back from a copy
-    /// lately: the copy may be older than the entry.
+    /// Until when a replica stays in use whose entry is found to be missing at `now`, if the store has recently come
+    /// back from a copy: the copy may be older than the entry.
     fn retained_after_store_recovery(&self, now: Instant) -> Option<Instant> {
         let changed_ago = self.store_eras.changed_ago(now)?;
         let left = MISSING_ENTRY_RETENTION.checked_sub(changed_ago)?;
         Some(now + left)
     }
 
-    /// Forgets replicas whose entries have not come back after an outage of the store.
+    /// Removes replicas whose entries have not come back after an outage of the store.
     pub fn forget_lapsed(&self) {
         if self.registry.forget_lapsed(Instant::now()) {
             self.has_pending_changes.set(true);
@@ -372,25 +375,27 @@
         store::copied_entries::release(self);
     }
 
-    /// Takes in that what goes by this name can't be read.
+    /// Records that the object or message called `name` can't be read.
     pub fn reject(&self, kind: Rejected, name: &str, reason: UnreadableReason, detail: String) {
         let unreadable = Unreadable { reason, detail };
         let metrics = &self.status.metrics;
         self.rejections.note(kind, name, &unreadable, metrics);
     }
 
-    /// Puts the changes taken in since the last call into force, and tells others of them.
+    /// Puts the changes applied since the last call into force, and notifies other gateways.
     pub fn publish_changes(&self) {
         if !self.has_pending_changes.replace(false) {
             return;
         }
-        // Hundreds of daemons come and go beside thousands of replicas.
+        // Hundreds of gateways come and go beside thousands of replicas, so the index is only rebuilt for changes of
+        // replicas.
         if self.has_pending_replicas.replace(false) {
             self.publish_replicas();
         }
         self.peers.nudge();
     }
 
+    /// Rebuilds the index of the replicas, and wakes what waits for them.
     fn publish_replicas(&self) {
         self.registry.index();
         self.replicas_listed.notify_waiters();
@@ -400,8 +405,8 @@
         self.rollout_wanted.notify_one();
     }
 
-    /// Waits up to `timeout` for a replica of `service` where this daemon has just started: callers come to it
-    /// at once, and its first list of replicas is a few milliseconds away.
+    /// Waits up to `timeout` for a replica of `service` if this gateway has just started: callers reach it at once, and
+    /// its first list of replicas arrives within milliseconds.
     pub async fn wait_for_replicas(&self, service: &str, timeout: Duration) {
         if self.now() > STARTUP_WINDOW || !self.registry.of_service(service).is_empty() {
             return;
@@ -416,13 +421,13 @@
         }
     }
 
-    /// The version of the configuration in force; 0 for none.
+    /// Version of the configuration in force; 0 if there is none.
     pub fn configuration_version(&self) -> u64 {
         let configuration = self.configuration.load();
         configuration.as_ref().map_or(0, |known| known.version)
     }
 
-    /// Tells other threads whether the configuration and the replicas are known and current.
+    /// Updates [`SharedStatus::is_synced`]: whether the configuration and the replicas are known and current.
     pub fn refresh_readiness(&self) {
         let configuration = self.configuration.load();
         let version = self.configuration_version();
@@ -440,10 +445,10 @@
         }
     }
 
-    /// Puts settings that were read again into force: times, repeats. What listens and where the store is
-    /// stay as they are until the next start.
+    /// Puts reloaded settings into force: times, retries and quotas. Listening addresses and the store's address stay
+    /// as they are until the next start.
     pub fn apply_reloaded_settings(&self) {
-        // A thread that held it panicked while it put settings there: those in force stay.
+        // If the lock is poisoned, a thread panicked while it stored new settings: the current ones stay.
         let reloaded = self.status.reloaded.lock();
         if let Some(settings) = reloaded.ok().and_then(|mut reloaded| reloaded.take()) {
             self.times.set(settings.times);
@@ -454,13 +459,13 @@
         }
     }
 
-    /// A share from 0 to 1 that looks random over successive calls.
+    /// Pseudo-random fraction from 0 to 1, which differs from call to call.
     pub fn random_fraction(&self) -> f64 {
         let hash = xxh3_64(&self.draw().to_le_bytes());
         hash as f64 / u64::MAX as f64
     }
 
-    /// A number that differs from call to call.
+    /// Number that differs from call to call and between gateways, as a seed for pseudo-random choices.
     pub fn draw(&self) -> u64 {
         let draw = self.draw_count.get().wrapping_add(1);
         self.draw_count.set(draw);
@@ -468,6 +473,7 @@
     }
 }
 
+/// How far quotas may be exceeded, under the settings.
 fn tolerance(settings: &GatewayQuotas) -> Tolerance {
     Tolerance {
         overshoot: settings.overshoot,
