--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -121,14 +121,14 @@
                     log::debug!("a piece of a configuration from {from} is dropped");
                 }
             }
-            Some(Message::Usage(usage)) => state.quotas.take_member(&usage, Instant::now()),
+            Some(Message::Usage(usage)) => state.quotas.record_member_usage(&usage, Instant::now()),
             Some(Message::GroupUsage(usage)) => {
                 state
                     .peers
                     .relays
                     .note(&usage.group, from.to_string(), Instant::now());
-                state.quotas.take_group(&usage, Instant::now());
-                state.quotas.pass_on(usage);
+                state.quotas.record_group_usage(&usage, Instant::now());
+                state.quotas.queue_group_report(usage);
             }
             Some(Message::Strikes(strikes)) => records::take_strikes(&state, &strikes),
             Some(Message::Cleared(cleared)) => records::take_cleared(&state, &cleared),
--- a/crates/gateway/src/peers/records.rs
+++ b/crates/gateway/src/peers/records.rs
@@ -14,8 +14,8 @@
 use super::news::tell_other_groups;
 use super::send::{send, send_to};
 use super::spread::spread;
-use crate::quarantine::shared::{BETWEEN_TELLINGS, Outbox};
-use crate::quarantine::{Fingerprint, Record, Stored, Strike, Teller, homes, role};
+use crate::quarantine::shared::{ANNOUNCE_INTERVAL, Outbox};
+use crate::quarantine::{Fingerprint, Record, RecordSource, Stored, Strike, homes, role};
 use crate::standstill;
 use crate::state::GatewayState;
 use crate::store::{StoreEra, StorePosition};
@@ -35,19 +35,19 @@
 /// Tells others, for ever.
 pub(super) async fn tell(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
-        match state.quarantine.has_news() {
+        match state.quarantine.has_announcements() {
             true => {
-                let more = state.quarantine.told.notified();
+                let more = state.quarantine.announce_wakeup.notified();
                 // Ends early when there is more to tell.
-                let _ = tokio::time::timeout(BETWEEN_TELLINGS, more).await;
+                let _ = tokio::time::timeout(ANNOUNCE_INTERVAL, more).await;
             }
-            false => state.quarantine.told.notified().await,
+            false => state.quarantine.announce_wakeup.notified().await,
         }
         tokio::time::sleep(GATHERING).await;
         let outbox = state.quarantine.take_outbox();
         tell_homes(&state, &socket, &outbox).await;
         let news: Vec<WireRecord> = outbox
-            .news
+            .updates
             .iter()
             .filter_map(|fingerprint| own_record(&state, *fingerprint))
             .collect();
@@ -122,7 +122,7 @@
         return;
     }
     let known = state.quarantine.read(|ledger| {
-        let known = ledger.known_to_all();
+        let known = ledger.shared_records();
         let known = known.map(|(fingerprint, record)| wire(state, fingerprint, record));
         known.collect::<Vec<WireRecord>>()
     });
@@ -173,7 +173,7 @@
         let role = role(&directory, fingerprint, state.peers.own());
         state
             .quarantine
-            .take_strike(fingerprint, strike, role, Teller::Peer);
+            .record_strike(fingerprint, strike, role, RecordSource::Peer);
     }
 }
 
@@ -181,7 +181,7 @@
 pub(super) fn take_cleared(state: &GatewayState, cleared: &[u128]) {
     for number in cleared {
         let fingerprint = Fingerprint::from_number(*number);
-        state.quarantine.clear(fingerprint, Teller::Peer);
+        state.quarantine.clear(fingerprint, RecordSource::Peer);
     }
 }
 
@@ -207,12 +207,12 @@
             stored: Stored {
                 position: stored_position(told),
                 is_quarantined: told.is_stored_quarantined,
-                apart_trials: told.stored_apart_trials,
+                isolated_trials: told.stored_apart_trials,
             },
             cleared_at: moment(now, told.cleared_age_ms),
-            good_ends: told.good_ends,
-            apart_trials: told.apart_trials,
-            apart_at: told
+            completions: told.good_ends,
+            isolated_trials: told.apart_trials,
+            isolated_trial_at: told
                 .apart_age_ms
                 .map_or(Duration::ZERO, |age_ms| moment(now, age_ms)),
         };
@@ -220,7 +220,7 @@
         let role = role(&directory, fingerprint, state.peers.own());
         has_news |= state
             .quarantine
-            .take_record(fingerprint, record, role, Teller::Peer);
+            .merge_record(fingerprint, record, role, RecordSource::Peer);
     }
     has_news
 }
@@ -253,10 +253,10 @@
         is_stored_quarantined: record.stored.is_quarantined,
         cleared_age_ms: age_ms(now, record.cleared_at),
         stored_era: stored.and_then(|stored| stored.era.number()),
-        good_ends: record.good_ends,
-        apart_trials: record.apart_trials,
-        apart_age_ms: (record.apart_trials > 0).then(|| age_ms(now, record.apart_at)),
-        stored_apart_trials: record.stored.apart_trials,
+        good_ends: record.completions,
+        apart_trials: record.isolated_trials,
+        apart_age_ms: (record.isolated_trials > 0).then(|| age_ms(now, record.isolated_trial_at)),
+        stored_apart_trials: record.stored.isolated_trials,
     }
 }
 
--- a/crates/gateway/src/peers/spread.rs
+++ b/crates/gateway/src/peers/spread.rs
@@ -84,7 +84,7 @@
         Report::Usage(groups) => {
             let now = Instant::now();
             for usage in &groups {
-                state.quotas.take_group(usage, now);
+                state.quotas.record_group_usage(usage, now);
             }
         }
         Report::Loading(loading) => take_loading(state, &loading),
--- a/crates/gateway/src/peers/usage.rs
+++ b/crates/gateway/src/peers/usage.rs
@@ -29,7 +29,7 @@
     let mut told_at = Instant::now();
     loop {
         tokio::time::sleep(INTERVAL).await;
-        if !state.quotas.are_in_force() {
+        if !state.quotas.has_limits() {
             tokio::time::sleep(QUIET_INTERVAL).await;
             continue;
         }
@@ -72,7 +72,9 @@
     own: Vec<WireTotals>,
     now: Instant,
 ) {
-    state.quotas.take_member(&usage_of(state, &own), now);
+    state
+        .quotas
+        .record_member_usage(&usage_of(state, &own), now);
     let sums = state.quotas.group_usage(now);
     let mut of_groups = Vec::new();
     for totals in parts(&sums) {
@@ -84,10 +86,10 @@
             sent_ms: Some(state.quotas.now_ms(now)),
         };
         tell_other_groups(state, socket, &Message::GroupUsage(usage.clone())).await;
-        state.quotas.take_group(&usage, now);
+        state.quotas.record_group_usage(&usage, now);
         of_groups.push(usage);
     }
-    of_groups.extend(state.quotas.take_incoming());
+    of_groups.extend(state.quotas.take_queued_reports());
     for groups in pack(of_groups) {
         spread(state, socket, Report::Usage(groups)).await;
     }
--- a/crates/gateway/src/pipeline/attempts.rs
+++ b/crates/gateway/src/pipeline/attempts.rs
@@ -19,7 +19,7 @@
 use crate::notices;
 use crate::permits::{self, Denied};
 use crate::protocol::ReplicaIncarnation;
-use crate::quarantine::note_loss;
+use crate::quarantine::note_lost_answer;
 use crate::replicas::Replica;
 use crate::state::GatewayState;
 use crate::upstream::SendFailure;
@@ -441,7 +441,7 @@
             &format!("fingerprint={fingerprint} {cause}"),
         );
         let ran = self.sent_at.elapsed();
-        note_loss(&self.state, &choice.replica, fingerprint, ran);
+        note_lost_answer(&self.state, &choice.replica, fingerprint, ran);
         self.tried.push(choice.replica.life.clone());
         match self.may_run_again() {
             true => Ok(()),
--- a/crates/gateway/src/pipeline/check_quarantine.rs
+++ b/crates/gateway/src/pipeline/check_quarantine.rs
@@ -4,7 +4,7 @@
 use super::refusal::{Reason, Refusal, Step};
 use std::time::Duration;
 
-use crate::quarantine::{Fingerprint, Teller, Verdict, apart, is_first_home};
+use crate::quarantine::{Fingerprint, RecordSource, Verdict, is_first_home, isolated_trials};
 use crate::state::GatewayState;
 
 /// Checks before each send whether the request may go to a replica; `may_have_run` says whether it was at one in this try.
@@ -22,15 +22,17 @@
             "suspected to have ended replicas",
         )),
         Verdict::Suspicious => Ok(()),
-        Verdict::Due if is_trial_gateway(state, context.fingerprint()) => {
+        Verdict::TrialDue if is_trial_gateway(state, context.fingerprint()) => {
             state.quarantine.begin_trial(context.fingerprint());
             Ok(())
         }
-        Verdict::Apart(from) if is_own_turn_to_isolate(state, context.fingerprint(), from) => {
-            state.quarantine.begin_apart(context.fingerprint());
+        Verdict::IsolatedTrialDue(from)
+            if is_own_turn_to_isolate(state, context.fingerprint(), from) =>
+        {
+            state.quarantine.begin_isolated_trial(context.fingerprint());
             Ok(())
         }
-        Verdict::Due | Verdict::Apart(_) | Verdict::Quarantined => {
+        Verdict::TrialDue | Verdict::IsolatedTrialDue(_) | Verdict::Quarantined => {
             state.status.metrics.quarantined.inc();
             Err(refusal(context.fingerprint(), "quarantined"))
         }
@@ -40,7 +42,9 @@
 /// Takes in that the answer to a request came whole: its replica has survived it.
 pub fn note_survived(state: &GatewayState, context: &RequestContext) {
     if state.quarantine.may_clear() {
-        state.quarantine.clear(context.fingerprint(), Teller::Own);
+        state
+            .quarantine
+            .clear(context.fingerprint(), RecordSource::Own);
     }
 }
 
@@ -51,7 +55,8 @@
 
 /// Whether it is this daemon's turn to try the request apart, which has been due since `from`.
 fn is_own_turn_to_isolate(state: &GatewayState, fingerprint: Fingerprint, from: Duration) -> bool {
-    let turn = apart::turn(&state.peers.directory(), fingerprint, state.peers.own());
+    let turn =
+        isolated_trials::trial_delay(&state.peers.directory(), fingerprint, state.peers.own());
     state.quarantine.now() >= from.saturating_add(turn)
 }
 
--- a/crates/gateway/src/pipeline/check_quota.rs
+++ b/crates/gateway/src/pipeline/check_quota.rs
@@ -6,7 +6,7 @@
 use super::refusal::{Reason, Refusal, Step};
 use crate::configuration::Tenant;
 use crate::protocol::Prompt;
-use crate::quota::{Charge, Refused};
+use crate::quota::{Charge, QuotaExceeded};
 use crate::state::GatewayState;
 
 /// Charges a request to its tenant. Returns what is to be given back where it does not run.
@@ -28,11 +28,11 @@
     charged.map_err(|(refused, limit)| {
         let detail = format!("tenant {}: {limit}", tenant.name);
         match refused {
-            Refused::ForNow(time) => Refusal {
+            QuotaExceeded::RetryAfter(time) => Refusal {
                 retry_after: Some(time),
                 ..Refusal::new(Step::Quota, Reason::OverQuota, detail)
             },
-            Refused::ForGood => Refusal::new(Step::Quota, Reason::BeyondQuota, detail),
+            QuotaExceeded::ExceedsBurst => Refusal::new(Step::Quota, Reason::BeyondQuota, detail),
         }
     })
 }
--- a/crates/gateway/src/pipeline/mod.rs
+++ b/crates/gateway/src/pipeline/mod.rs
@@ -80,7 +80,7 @@
     if let (Some(charge), Err(refusal)) = (charge, &result)
         && refusal.reason.is_not_run()
     {
-        state.quotas.give_back(charge);
+        state.quotas.refund(charge);
     }
     result
 }
--- a/crates/gateway/src/quarantine/by_end.rs
+++ b/crates/gateway/src/quarantine/by_crash.rs
@@ -6,9 +6,9 @@
 
 /// The requests with records, by the digests of the replicas that ended.
 #[derive(Debug, Default)]
-pub(super) struct ByEnd(HashMap<u64, Vec<Fingerprint>>);
+pub(super) struct RequestsByCrash(HashMap<u64, Vec<Fingerprint>>);
 
-impl ByEnd {
+impl RequestsByCrash {
     /// Notes that a request was open at these ends; what is known already stays as it is.
     pub(super) fn add(&mut self, fingerprint: Fingerprint, ends: &[Strike]) {
         for end in ends {
@@ -32,7 +32,7 @@
     }
 
     /// The requests that were open at the end of a replica.
-    pub(super) fn open_at(&self, replica: u64) -> &[Fingerprint] {
+    pub(super) fn requests_open_at(&self, replica: u64) -> &[Fingerprint] {
         self.0.get(&replica).map_or(&[], Vec::as_slice)
     }
 }
--- a/crates/gateway/src/quarantine/evidence.rs
+++ b/crates/gateway/src/quarantine/evidence.rs
@@ -5,81 +5,87 @@
 
 use super::Fingerprint;
 use super::ledger::{Ledger, Role};
-use super::record::{ONE_CRASH, Record, Strike, WEIGHT, is_after};
+use super::record::{Record, SAME_EVENT_WINDOW, STRIKE_WEIGHT, Strike, began_after_crash};
 
 /// Strikes after which a request is quarantined. The operator allows three ends, and three more sends.
 pub const MAX_STRIKES: usize = 3;
 
 /// The same at a daemon that does not count for the request, and hears of few of the replicas that ended besides. It
 /// matters to one that the others can't reach.
-const MAX_STRIKES_ELSEWHERE: usize = 5;
+const MAX_STRIKES_NON_HOME: usize = 5;
 
 /// How much more than that may be the work of a quarantined request that was open at all these ends: that one may be harmless and
 /// held by mistake, so less than one end.
-const MOST_EXCUSED: usize = WEIGHT - 1;
+const MAX_EXPLAINED_EXCESS: usize = STRIKE_WEIGHT - 1;
 
 /// How long after the end of a replica it is known which others ended with it: within that time every daemon that was not
 /// frozen has told.
-const SETTLED: Duration = Duration::from_millis(300);
+const CRASH_SETTLE_TIME: Duration = Duration::from_millis(300);
 
 /// Ends of replicas that are remembered, to know which ended together: 40 bytes each, four crashes of a seventh of 3,000
 /// replicas.
-const MAX_ENDS: usize = 2048;
+const MAX_CRASHES: usize = 2048;
 
 /// The end of a replica.
 #[derive(Debug)]
-pub(super) struct End {
+pub(super) struct Crash {
     replica: u64,
     pub(super) at: Duration,
     /// When it was there yet: the latest that a request which ran there began to.
-    alive_at: Option<Duration>,
+    last_alive_at: Option<Duration>,
 }
 
 impl Ledger {
     /// Remembers the end of a replica.
-    pub(super) fn note_end(&mut self, strike: Strike) {
-        let alive_at = strike.showed_alive_at();
-        let mut ends = self.ends.iter_mut();
-        if let Some(known) = ends.find(|known| known.replica == strike.replica) {
-            known.alive_at = known.alive_at.max(alive_at);
+    pub(super) fn note_crash(&mut self, strike: Strike) {
+        let last_alive_at = strike.replica_alive_at();
+        let mut crashes = self.crashes.iter_mut();
+        if let Some(known) = crashes.find(|known| known.replica == strike.replica) {
+            known.last_alive_at = known.last_alive_at.max(last_alive_at);
             return;
         }
-        self.ends.push_back(End {
+        self.crashes.push_back(Crash {
             replica: strike.replica,
             at: strike.at,
-            alive_at,
+            last_alive_at,
         });
-        if self.ends.len() > MAX_ENDS {
-            self.ends.pop_front();
+        if self.crashes.len() > MAX_CRASHES {
+            self.crashes.pop_front();
         }
     }
 
     /// Whether other replicas ended with that of a strike, where the request was not open, by no request that is known to end
     /// replicas.
-    fn coincides(&self, fingerprint: Fingerprint, record: &Record, strike: &Strike) -> bool {
-        let own_alive_at = self.end_of(strike.replica).and_then(|end| end.alive_at);
-        let near = self
-            .ends
-            .iter()
-            .filter(|end| strike.at.abs_diff(end.at) < ONE_CRASH && !record.has_ended(end.replica));
-        let mut has_explained = false;
+    fn is_coincident_strike(
+        &self,
+        fingerprint: Fingerprint,
+        record: &Record,
+        strike: &Strike,
+    ) -> bool {
+        let own_last_alive_at = self
+            .crash_of(strike.replica)
+            .and_then(|end| end.last_alive_at);
+        let near = self.crashes.iter().filter(|end| {
+            strike.at.abs_diff(end.at) < SAME_EVENT_WINDOW && !record.has_strike_of(end.replica)
+        });
+        let mut has_explained_crash = false;
         for other in near {
-            if self.is_of_quarantined(other.replica, fingerprint) {
-                has_explained = true;
-            } else if !is_apart(strike.at, own_alive_at, other) {
+            if self.was_hit_by_quarantined(other.replica, fingerprint) {
+                has_explained_crash = true;
+            } else if !is_separate_event(strike.at, own_last_alive_at, other) {
                 return true;
             }
         }
-        strike.is_coincident && !has_explained
+        strike.is_coincident && !has_explained_crash
     }
 
-    pub(super) fn end_of(&self, replica: u64) -> Option<&End> {
-        self.ends.iter().find(|end| end.replica == replica)
+    pub(super) fn crash_of(&self, replica: u64) -> Option<&Crash> {
+        self.crashes.iter().find(|end| end.replica == replica)
     }
 
     /// Whether a quarantined request, other than `but`, was open at a replica as it ended.
-    fn is_of_quarantined(&self, replica: u64, but: Fingerprint) -> bool {
-        let mut open_there = self.by_end.open_at(replica).iter();
+    fn was_hit_by_quarantined(&self, replica: u64, but: Fingerprint) -> bool {
+        let mut open_there = self.requests_by_crash.requests_open_at(replica).iter();
         open_there.any(|request| {
             let record = self.records.get(request);
             *request != but && record.is_some_and(|record| record.is_quarantined)
@@ -88,14 +94,19 @@
 
     /// Notes for good which strikes coincide with other ends, once that is known. A full record has dropped ends at which its
     /// request was open too, and can't tell them from others.
-    pub(super) fn settle(&self, fingerprint: Fingerprint, record: &mut Record, now: Duration) {
+    pub(super) fn mark_coincident(
+        &self,
+        fingerprint: Fingerprint,
+        record: &mut Record,
+        now: Duration,
+    ) {
         if record.is_full() {
             return;
         }
-        let is_settled = |strike: &Strike| now.saturating_sub(strike.at) >= SETTLED;
+        let is_settled = |strike: &Strike| now.saturating_sub(strike.at) >= CRASH_SETTLE_TIME;
         let coincident = record.strikes.iter().map(|strike| {
             strike.is_coincident
-                || is_settled(strike) && self.coincides(fingerprint, record, strike)
+                || is_settled(strike) && self.is_coincident_strike(fingerprint, record, strike)
         });
         let coincident: Vec<bool> = coincident.collect();
         for (strike, is_coincident) in record.strikes.iter_mut().zip(coincident) {
@@ -104,31 +115,44 @@
     }
 
     /// Whether so many strikes count against a request that it is quarantined.
-    pub(super) fn is_guilty(&self, fingerprint: Fingerprint, record: &Record, role: Role) -> bool {
+    pub(super) fn exceeds_strike_limit(
+        &self,
+        fingerprint: Fingerprint,
+        record: &Record,
+        role: Role,
+    ) -> bool {
         let limit = match role {
             Role::Home => MAX_STRIKES,
-            Role::Other => MAX_STRIKES_ELSEWHERE,
+            Role::Other => MAX_STRIKES_NON_HOME,
         };
-        let weight = record.weight(|strike| self.coincides(fingerprint, record, strike));
-        let has_enough = weight >= limit * WEIGHT;
-        let has_too_many = weight > limit * WEIGHT + MOST_EXCUSED;
-        has_too_many || has_enough && !self.is_explained(fingerprint, record)
+        let weight = record.weight(|strike| self.is_coincident_strike(fingerprint, record, strike));
+        let reaches_limit = weight >= limit * STRIKE_WEIGHT;
+        let exceeds_with_margin = weight > limit * STRIKE_WEIGHT + MAX_EXPLAINED_EXCESS;
+        exceeds_with_margin
+            || reaches_limit && !self.is_explained_by_quarantined(fingerprint, record)
     }
 
     /// Whether a quarantined request was open at all ends that count against this one, and at others besides. One that had run longer
     /// there explains nothing: it rather is the one that was there by chance.
-    pub(super) fn is_explained(&self, fingerprint: Fingerprint, record: &Record) -> bool {
+    pub(super) fn is_explained_by_quarantined(
+        &self,
+        fingerprint: Fingerprint,
+        record: &Record,
+    ) -> bool {
         let Some(first) = record.strikes.first() else {
             return false;
         };
         let explains = |other: &Record| {
-            let mut ends = record.strikes.iter();
+            let mut crashes = record.strikes.iter();
             other.is_quarantined
                 && other.strikes.len() > record.strikes.len()
                 && other.mean_run() <= record.mean_run()
-                && ends.all(|strike| other.has_ended(strike.replica))
+                && crashes.all(|strike| other.has_strike_of(strike.replica))
         };
-        let open_there = self.by_end.open_at(first.replica).iter();
+        let open_there = self
+            .requests_by_crash
+            .requests_open_at(first.replica)
+            .iter();
         open_there
             .filter(|other| **other != fingerprint)
             .filter_map(|other| self.records.get(other))
@@ -136,12 +160,12 @@
     }
 }
 
-/// Whether another replica ended in another crash than one that ended at `at` and was there yet at `alive_at`: the later one
+/// Whether another replica ended in another crash than one that ended at `at` and was there yet at `last_alive_at`: the later one
 /// began to run something after the earlier one had ended.
-fn is_apart(at: Duration, alive_at: Option<Duration>, other: &End) -> bool {
-    let (first_at, later_alive_at) = match other.at < at {
-        true => (other.at, alive_at),
-        false => (at, other.alive_at),
+fn is_separate_event(at: Duration, last_alive_at: Option<Duration>, other: &Crash) -> bool {
+    let (first_at, later_last_alive_at) = match other.at < at {
+        true => (other.at, last_alive_at),
+        false => (at, other.last_alive_at),
     };
-    later_alive_at.is_some_and(|alive_at| is_after(alive_at, first_at))
+    later_last_alive_at.is_some_and(|last_alive_at| began_after_crash(last_alive_at, first_at))
 }
--- a/crates/gateway/src/quarantine/fingerprint.rs
+++ b/crates/gateway/src/quarantine/fingerprint.rs
@@ -54,10 +54,10 @@
 /// A text is no fingerprint.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("{0:?} is no fingerprint: 32 hexadecimal digits are expected")]
-pub struct NoFingerprint(String);
+pub struct InvalidFingerprint(String);
 
 impl FromStr for Fingerprint {
-    type Err = NoFingerprint;
+    type Err = InvalidFingerprint;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let is_well_formed = text.len() == BYTES * 2 && !text.starts_with('+');
@@ -65,6 +65,6 @@
         number
             .filter(|_| is_well_formed)
             .map(Self::from_number)
-            .ok_or_else(|| NoFingerprint(text.to_owned()))
+            .ok_or_else(|| InvalidFingerprint(text.to_owned()))
     }
 }
--- a/crates/gateway/src/quarantine/lives.rs
+++ b/crates/gateway/src/quarantine/incarnations.rs
@@ -13,27 +13,27 @@
 /// How long after the end of a replica a run must have begun that is taken for one of its next life. News of ends are under way for up
 /// to 0.3 s, so an earlier run may seem to have begun that late; replicas that start again were away for half a second at the
 /// least.
-pub(super) const LEAST_AWAY: Duration = Duration::from_millis(400);
+pub(super) const MIN_RESTART_TIME: Duration = Duration::from_millis(400);
 
 /// Lives of which it is remembered which came next: as many as there are ends that are remembered.
-const MAX_LIVES: usize = 2048;
+const MAX_INCARNATIONS: usize = 2048;
 
 /// Strikes that wait until it is known which life they are of, for the tens of milliseconds that news of it need: a replica runs some
 /// dozen requests at once, and few start again at one moment.
-const MAX_WAITING: usize = 256;
+const MAX_PENDING_STRIKES: usize = 256;
 
 /// What followed a life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Next {
+pub(super) enum Successor {
     /// Another life under the same id.
-    Life(u64),
+    Incarnation(u64),
     /// None: its entry is gone. What runs at its address by now has another id.
-    Nothing,
+    Removed,
 }
 
 /// A strike whose life is not known yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Waiting {
+pub(super) struct PendingStrike {
     pub(super) fingerprint: Fingerprint,
     /// Under the name of a life that had ended before.
     pub(super) strike: Strike,
@@ -42,42 +42,48 @@
 
 /// The lives of replicas, by their digests.
 #[derive(Debug, Default)]
-pub(super) struct Lives {
-    next: HashMap<u64, Next>,
-    /// Those in `next`, the ones heard of last at the end.
-    heard: VecDeque<u64>,
-    waiting: VecDeque<Waiting>,
+pub(super) struct Incarnations {
+    successors: HashMap<u64, Successor>,
+    /// Those in `successors`, the ones heard of last at the end.
+    insertion_order: VecDeque<u64>,
+    pending: VecDeque<PendingStrike>,
 }
 
-impl Lives {
+impl Incarnations {
     /// Takes in what followed a life; the strikes that waited for that.
-    pub(super) fn note_next(&mut self, before: u64, next: Next) -> Vec<Waiting> {
-        if self.next.insert(before, next).is_none() {
-            self.heard.push_back(before);
+    pub(super) fn note_successor(
+        &mut self,
+        before: u64,
+        successors: Successor,
+    ) -> Vec<PendingStrike> {
+        if self.successors.insert(before, successors).is_none() {
+            self.insertion_order.push_back(before);
         }
-        if self.heard.len() > MAX_LIVES
-            && let Some(oldest) = self.heard.pop_front()
+        if self.insertion_order.len() > MAX_INCARNATIONS
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.next.remove(&oldest);
+            self.successors.remove(&oldest);
         }
-        let (named, waiting) = std::mem::take(&mut self.waiting)
+        let (named, pending) = std::mem::take(&mut self.pending)
             .into_iter()
-            .partition(|waiting| waiting.strike.replica == before);
-        self.waiting = waiting;
+            .partition(|pending| pending.strike.replica == before);
+        self.pending = pending;
         Vec::from(named)
     }
 
     /// What followed this life, where it was heard of.
-    pub(super) fn next(&self, life: u64) -> Option<Next> {
-        self.next.get(&life).copied()
+    pub(super) fn successor(&self, incarnation: u64) -> Option<Successor> {
+        self.successors.get(&incarnation).copied()
     }
 
     /// Keeps a strike until its life is heard of; the oldest ones are dropped where too many wait.
-    pub(super) fn wait(&mut self, waiting: Waiting) {
-        self.waiting.push_back(waiting);
-        if self.waiting.len() > MAX_WAITING {
-            log::warn!("a strike is dropped: {MAX_WAITING} wait for news of their replicas");
-            self.waiting.pop_front();
+    pub(super) fn defer(&mut self, pending: PendingStrike) {
+        self.pending.push_back(pending);
+        if self.pending.len() > MAX_PENDING_STRIKES {
+            log::warn!(
+                "dropping the oldest pending strike: more than {MAX_PENDING_STRIKES} strikes wait for news of replica restarts"
+            );
+            self.pending.pop_front();
         }
     }
 }
--- a/crates/gateway/src/quarantine/ends.rs
+++ b/crates/gateway/src/quarantine/lost_answers.rs
@@ -19,46 +19,46 @@
 
 /// How long losses at one replica are gathered before its address is tried. When a replica ended, its connections
 /// broke off within 2 ms of each other at seven gateways (logs of an incident); a replica is back after seconds.
-const GATHERING: Duration = Duration::from_millis(5);
+const GATHER_WINDOW: Duration = Duration::from_millis(5);
 
 /// Losses at one replica that are remembered until its address was tried; a replica serves fewer requests of one
 /// gateway at once.
-const MAX_LOSSES: usize = 256;
+const MAX_LOST_ANSWERS: usize = 256;
 
 /// Fingerprints that a log line names.
 const MAX_LOGGED: usize = 24;
 
 /// Answers that broke off, by replica, until it is known whether the replica has ended.
 #[derive(Debug, Default)]
-pub struct Losses(RefCell<HashMap<ReplicaIncarnation, Vec<Loss>>>);
+pub struct LostAnswers(RefCell<HashMap<ReplicaIncarnation, Vec<LostAnswer>>>);
 
 /// An answer that broke off.
 #[derive(Debug, Clone, Copy)]
-struct Loss {
+struct LostAnswer {
     fingerprint: Fingerprint,
     /// How long the request had been at the replica.
     ran: Duration,
 }
 
-impl Losses {
+impl LostAnswers {
     /// Adds a loss; true where it is the first one at this replica.
-    fn add(&self, replica: &ReplicaIncarnation, loss: Loss) -> bool {
+    fn add(&self, replica: &ReplicaIncarnation, lost_answer: LostAnswer) -> bool {
         let mut by_replica = self.0.borrow_mut();
-        let losses = by_replica.entry(replica.clone()).or_default();
-        if losses.len() < MAX_LOSSES {
-            losses.push(loss);
+        let lost_answers = by_replica.entry(replica.clone()).or_default();
+        if lost_answers.len() < MAX_LOST_ANSWERS {
+            lost_answers.push(lost_answer);
         }
-        losses.len() == 1
+        lost_answers.len() == 1
     }
 
-    fn take(&self, replica: &ReplicaIncarnation) -> Vec<Loss> {
+    fn take(&self, replica: &ReplicaIncarnation) -> Vec<LostAnswer> {
         self.0.borrow_mut().remove(replica).unwrap_or_default()
     }
 }
 
 /// Takes in that an answer of `replica` to the request with this fingerprint was lost, which had been there for `ran`, and
 /// finds out whether the replica has ended. One that is leaving may end: that is no crash.
-pub fn note_loss(
+pub fn note_lost_answer(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
     fingerprint: Fingerprint,
@@ -68,22 +68,26 @@
     if !is_listed || replica.is_leaving() {
         return;
     }
-    let loss = Loss { fingerprint, ran };
-    if state.quarantine.losses.add(&replica.life, loss) {
+    let lost_answer = LostAnswer { fingerprint, ran };
+    if state
+        .quarantine
+        .lost_answers
+        .add(&replica.life, lost_answer)
+    {
         // Before the request is sent to another replica, which may end too.
         let ended_at = state.quarantine.now();
-        let finding_out = find_out(Rc::clone(state), Rc::clone(replica), ended_at);
-        ntex::rt::spawn(finding_out);
+        let check = check_for_crash(Rc::clone(state), Rc::clone(replica), ended_at);
+        ntex::rt::spawn(check);
     }
 }
 
-async fn find_out(state: Rc<GatewayState>, replica: Rc<Replica>, ended_at: Duration) {
-    tokio::time::sleep(GATHERING).await;
+async fn check_for_crash(state: Rc<GatewayState>, replica: Rc<Replica>, ended_at: Duration) {
+    tokio::time::sleep(GATHER_WINDOW).await;
     let is_refused = is_refused(replica.pool.peer()).await;
     // A daemon that stood still as the replica ended may find the next one at its address.
-    let has_ended = is_refused || state.registry.is_replaced(&replica);
-    let lost = state.quarantine.losses.take(&replica.life);
-    if !has_ended {
+    let has_strike_of = is_refused || state.registry.is_replaced(&replica);
+    let lost = state.quarantine.lost_answers.take(&replica.life);
+    if !has_strike_of {
         return;
     }
     state.status.metrics.replicas_ended.inc();
@@ -94,10 +98,10 @@
         replica.life_hash,
         replica.pool.peer(),
         lost.len(),
-        logged(&lost)
+        logged_fingerprints(&lost)
     );
     let directory = state.peers.directory();
-    for Loss { fingerprint, ran } in lost {
+    for LostAnswer { fingerprint, ran } in lost {
         // Where the next life is there the request may have run at either, and only have broken off at that one: the time
         // of its begin would name the one that lives.
         let began_at = is_refused.then(|| ended_at.saturating_sub(ran));
@@ -113,7 +117,7 @@
 }
 
 /// The fingerprints that a log line names.
-fn logged(lost: &[Loss]) -> Vec<Fingerprint> {
+fn logged_fingerprints(lost: &[LostAnswer]) -> Vec<Fingerprint> {
     let named = lost.iter().take(MAX_LOGGED);
-    named.map(|loss| loss.fingerprint).collect()
+    named.map(|lost_answer| lost_answer.fingerprint).collect()
 }
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -5,32 +5,32 @@
 //! against which three count is sent no more, by any daemon.
 //!
 //! - [`fingerprint`]: what makes two tries the same request.
-//! - [`ends`]: whether a replica has ended, or only broke off an answer.
+//! - [`lost_answers`]: whether a replica has ended, or only broke off an answer.
 //! - [`record`]: what is known of one request.
 //! - [`ledger`]: what is known of all; the decision.
-//! - `lives`: which life an end is of, where it is told under the name of an earlier one.
+//! - `incarnations`: which life an end is of, where it is told under the name of an earlier one.
 //! - `evidence`: what ends prove against a request.
-//! - [`apart`]: when one is tried apart from those that were open at the same ends.
+//! - [`isolated_trials`]: when one is tried apart from those that were open at the same ends.
 //! - [`homes`]: which daemons count for a request.
 //! - [`shared`]: the records of this daemon, and what it has to tell.
 //!
 //! How daemons tell each other lies in [`crate::peers`], how the store keeps it in [`crate::store`].
 
-pub mod apart;
-mod by_end;
-pub mod ends;
+mod by_crash;
 mod evidence;
 pub mod fingerprint;
 pub mod homes;
-pub mod kept;
+mod incarnations;
+pub mod isolated_trials;
 pub mod ledger;
-mod lives;
+pub mod lost_answers;
 pub mod record;
 pub mod shared;
+pub mod stored_state;
 
-pub use ends::note_loss;
 pub use fingerprint::Fingerprint;
-pub use homes::{TURN, homes, is_first_home, is_turn, place, role};
+pub use homes::{WRITE_TURN, home_rank, homes, is_first_home, is_write_turn, role};
 pub use ledger::{Role, Verdict};
+pub use lost_answers::note_lost_answer;
 pub use record::{Record, Stored, Strike};
-pub use shared::{Quarantine, Removal, Teller};
+pub use shared::{Quarantine, RecordSource, Removal};
--- a/crates/gateway/src/quarantine/shared.rs
+++ b/crates/gateway/src/quarantine/shared.rs
@@ -10,20 +10,20 @@
 use tokio::sync::Notify;
 
 use super::Fingerprint;
-use super::ends::Losses;
-use super::ledger::{Cleared, Ledger, News, Role, Verdict};
+use super::ledger::{Cleared, Ledger, RecordUpdate, Role, Verdict};
+use super::lost_answers::LostAnswers;
 use super::record::{Record, Stored, Strike};
 use crate::store::StorePosition;
 
 /// How often news are told: a datagram may be lost, and those that are told twice know it already.
-const TELLINGS: u8 = 3;
+const ANNOUNCEMENTS: u8 = 3;
 
 /// The time between two tellings of the same news; three of them end well before others must know (`contact_seconds`).
-pub const BETWEEN_TELLINGS: Duration = Duration::from_millis(350);
+pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(350);
 
 /// Where the clock of the records begins, so that moments before the start of this daemon have a place on it, which others
 /// tell it of. Longer than anything is remembered.
-const CLOCK_BEGIN: Duration = Duration::from_secs(30 * 24 * 3600);
+const CLOCK_ORIGIN: Duration = Duration::from_secs(30 * 24 * 3600);
 
 /// An object of the store that is to be removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,12 +42,12 @@
     /// Requests that ended well, for the same daemons.
     pub cleared: Vec<Fingerprint>,
     /// Requests whose records all are to know.
-    pub news: Vec<Fingerprint>,
+    pub updates: Vec<Fingerprint>,
 }
 
 /// News that are told more than once.
 #[derive(Debug, Clone, Copy)]
-struct Telling {
+struct Announcement {
     left: u8,
     next_at: Duration,
 }
@@ -57,20 +57,20 @@
 pub struct Quarantine {
     began: Instant,
     /// Answers that broke off, until it is known whether their replica has ended.
-    pub(super) losses: Losses,
+    pub(super) lost_answers: LostAnswers,
     ledger: RefCell<Ledger>,
     outbox: RefCell<Outbox>,
-    tellings: RefCell<HashMap<Fingerprint, Telling>>,
+    announcements: RefCell<HashMap<Fingerprint, Announcement>>,
     removals: RefCell<Vec<Removal>>,
     /// Wakes the task that tells others.
-    pub told: Notify,
+    pub announce_wakeup: Notify,
     /// Wakes the task that keeps records in the store.
-    pub kept: Notify,
+    pub store_wakeup: Notify,
 }
 
 /// Who told of something, for the logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Teller {
+pub enum RecordSource {
     /// This daemon saw it.
     Own,
     /// Another daemon.
@@ -85,13 +85,13 @@
     fn default() -> Self {
         Self {
             began: Instant::now(),
-            losses: Losses::default(),
+            lost_answers: LostAnswers::default(),
             ledger: RefCell::default(),
             outbox: RefCell::default(),
-            tellings: RefCell::default(),
+            announcements: RefCell::default(),
             removals: RefCell::default(),
-            told: Notify::new(),
-            kept: Notify::new(),
+            announce_wakeup: Notify::new(),
+            store_wakeup: Notify::new(),
         }
     }
 }
@@ -99,106 +99,106 @@
 impl Quarantine {
     /// The moment, on the clock of the records.
     pub fn now(&self) -> Duration {
-        CLOCK_BEGIN + self.began.elapsed()
+        CLOCK_ORIGIN + self.began.elapsed()
     }
 
     /// Takes in that a replica ended at `at` while a request of this daemon was open there.
     pub fn strike(&self, fingerprint: Fingerprint, strike: Strike, role: Role) {
         self.outbox.borrow_mut().strikes.push((fingerprint, strike));
-        self.told.notify_one();
-        self.take_strike(fingerprint, strike, role, Teller::Own);
+        self.announce_wakeup.notify_one();
+        self.record_strike(fingerprint, strike, role, RecordSource::Own);
     }
 
     /// Takes in a strike.
-    pub fn take_strike(
+    pub fn record_strike(
         &self,
         fingerprint: Fingerprint,
         strike: Strike,
         role: Role,
-        teller: Teller,
+        source: RecordSource,
     ) {
         let mut ledger = self.ledger.borrow_mut();
-        let news = ledger.strike(fingerprint, strike, role, self.now());
+        let update = ledger.strike(fingerprint, strike, role, self.now());
         let count = ledger.get(fingerprint).map_or(0.0, Record::count);
         drop(ledger);
         log_event!(
             gateway::REQUEST_STRUCK,
-            "fingerprint={fingerprint} replica_digest={:016x} count={count} told_by={teller:?}",
+            "fingerprint={fingerprint} replica_digest={:016x} count={count} told_by={source:?}",
             strike.replica
         );
-        self.spread(fingerprint, news, teller);
+        self.handle_update(fingerprint, update, source);
     }
 
     /// Takes in that a replica has started again under its id: the life `after` follows `before`, both by their digests.
-    pub fn note_next_life(&self, before: u64, after: u64) {
+    pub fn note_next_incarnation(&self, before: u64, after: u64) {
         let mut ledger = self.ledger.borrow_mut();
-        let struck = ledger.note_next_life(before, after, self.now());
+        let struck = ledger.note_next_incarnation(before, after, self.now());
         drop(ledger);
-        self.take_named(struck, after);
+        self.log_attributed(struck, after);
     }
 
     /// Takes in that the entry of a replica is gone; its life by its digest.
-    pub fn note_gone_life(&self, life: u64) {
+    pub fn note_removed_incarnation(&self, life: u64) {
         let mut ledger = self.ledger.borrow_mut();
-        let struck = ledger.note_gone_life(life, self.now());
+        let struck = ledger.note_removed_incarnation(life, self.now());
         drop(ledger);
-        self.take_named(struck, life);
+        self.log_attributed(struck, life);
     }
 
     /// Takes in strikes that waited until it was known which life they are of.
-    fn take_named(&self, struck: Vec<(Fingerprint, News)>, life: u64) {
-        for (fingerprint, news) in struck {
+    fn log_attributed(&self, struck: Vec<(Fingerprint, RecordUpdate)>, life: u64) {
+        for (fingerprint, update) in struck {
             log_event!(
                 gateway::REQUEST_STRUCK,
                 "fingerprint={fingerprint} replica_digest={life:016x} count={} told_by={:?}",
                 self.read(|ledger| ledger.get(fingerprint).map_or(0.0, Record::count)),
-                Teller::Replicas
+                RecordSource::Replicas
             );
-            self.spread(fingerprint, news, Teller::Replicas);
+            self.handle_update(fingerprint, update, RecordSource::Replicas);
         }
     }
 
     /// Takes in a record that another daemon or the store told; true where it was news.
-    pub fn take_record(
+    pub fn merge_record(
         &self,
         fingerprint: Fingerprint,
         record: Record,
         role: Role,
-        teller: Teller,
+        source: RecordSource,
     ) -> bool {
         let was_quarantined = self.is_quarantined(fingerprint);
         let mut ledger = self.ledger.borrow_mut();
-        let news = ledger.merge(fingerprint, record, role, self.now());
+        let update = ledger.merge(fingerprint, record, role, self.now());
         drop(ledger);
         let is_quarantined = self.is_quarantined(fingerprint);
-        match news {
-            News::Quarantined => self.spread(fingerprint, news, teller),
-            News::Changed if is_quarantined && !was_quarantined => {
-                self.log_quarantined(fingerprint, teller);
+        match update {
+            RecordUpdate::Quarantined => self.handle_update(fingerprint, update, source),
+            RecordUpdate::Shared if is_quarantined && !was_quarantined => {
+                self.log_quarantined(fingerprint, source);
             }
-            News::Changed if was_quarantined && !is_quarantined => {
+            RecordUpdate::Shared if was_quarantined && !is_quarantined => {
                 log_event!(
                     gateway::REQUEST_CLEARED,
-                    "fingerprint={fingerprint} told_by={teller:?}"
+                    "fingerprint={fingerprint} told_by={source:?}"
                 );
             }
-            News::Changed | News::Nothing => {}
+            RecordUpdate::Shared | RecordUpdate::NotShared => {}
         }
-        self.kept.notify_one();
-        news != News::Nothing
+        self.store_wakeup.notify_one();
+        update != RecordUpdate::NotShared
     }
 
     /// Takes in that an answer to a request came whole: its replica has survived it.
-    pub fn clear(&self, fingerprint: Fingerprint, teller: Teller) {
+    pub fn clear(&self, fingerprint: Fingerprint, source: RecordSource) {
         let cleared = self.ledger.borrow_mut().clear(fingerprint, self.now());
-        let Some(cleared) = self.tell_cleared(fingerprint, cleared) else {
+        let Some(cleared) = self.announce_if_shared(fingerprint, cleared) else {
             return;
         };
         log_event!(
             gateway::REQUEST_CLEARED,
-            "fingerprint={fingerprint} count={} good_ends={} was_quarantined={} told_by={teller:?}",
+            "fingerprint={fingerprint} count={} good_ends={} was_quarantined={} told_by={source:?}",
             cleared.before.count(),
-            cleared.before.good_ends,
+            cleared.before.completions,
             cleared.before.is_quarantined
         );
         if let Some(position) = cleared.before.stored.position {
@@ -207,16 +207,16 @@
                 position,
             });
         }
-        if !cleared.is_for_all && teller == Teller::Own {
+        if !cleared.is_shared && source == RecordSource::Own {
             self.outbox.borrow_mut().cleared.push(fingerprint);
-            self.told.notify_one();
+            self.announce_wakeup.notify_one();
         }
     }
 
     /// Takes in that an operator took a request out of the store.
     pub fn release(&self, fingerprint: Fingerprint) {
         let released = self.ledger.borrow_mut().release(fingerprint, self.now());
-        if let Some(cleared) = self.tell_cleared(fingerprint, released) {
+        if let Some(cleared) = self.announce_if_shared(fingerprint, released) {
             log_event!(
                 gateway::REQUEST_RELEASED,
                 "fingerprint={fingerprint} count={} was_quarantined={}",
@@ -228,11 +228,11 @@
 
     /// Takes in the whole list of the store's records, read at `position`: those are released that it kept before, in the
     /// same era, and that are not in it any more. Those that it kept in an earlier one may be lost.
-    pub fn take_list(&self, listed: &[Fingerprint], position: StorePosition) {
+    pub fn release_missing(&self, listed: &[Fingerprint], position: StorePosition) {
         let ledger = self.ledger.borrow();
         let is_in_list = |stored: StorePosition| stored.era == position.era && stored <= position;
         let stored = ledger
-            .known_to_all()
+            .shared_records()
             .filter(|(_, record)| record.stored.position.is_some_and(is_in_list));
         let gone = stored.map(|(fingerprint, _)| fingerprint);
         let gone: Vec<Fingerprint> = gone.filter(|gone| !listed.contains(gone)).collect();
@@ -249,20 +249,20 @@
             gateway::REQUEST_TRIED,
             "fingerprint={fingerprint} why=long_in_quarantine"
         );
-        self.tell_all(fingerprint);
+        self.announce(fingerprint);
     }
 
     /// Takes in that the request is tried apart from those that were open at the same ends.
-    pub fn begin_apart(&self, fingerprint: Fingerprint) {
+    pub fn begin_isolated_trial(&self, fingerprint: Fingerprint) {
         self.ledger
             .borrow_mut()
-            .begin_apart(fingerprint, self.now());
+            .begin_isolated_trial(fingerprint, self.now());
         log_event!(
             gateway::REQUEST_TRIED,
             "fingerprint={fingerprint} why=others_have_the_same_ends rivals={}",
             self.ledger.borrow().rivals(fingerprint).len()
         );
-        self.tell_all(fingerprint);
+        self.announce(fingerprint);
     }
 
     /// What is to be done with a request. `fingerprint` is asked for only where there are suspects.
@@ -287,17 +287,17 @@
     /// Takes in how the store keeps a record, and tells all daemons.
     pub fn note_stored(&self, fingerprint: Fingerprint, stored: Stored) {
         self.ledger.borrow_mut().note_stored(fingerprint, stored);
-        self.tell_all(fingerprint);
+        self.announce(fingerprint);
     }
 
     /// Wants an object of the store removed.
     pub fn remove(&self, removal: Removal) {
         self.removals.borrow_mut().push(removal);
-        self.kept.notify_one();
+        self.store_wakeup.notify_one();
     }
 
     /// Wants it removed with the next try, not at once.
-    pub fn put_back(&self, removal: Removal) {
+    pub fn retry_removal(&self, removal: Removal) {
         self.removals.borrow_mut().push(removal);
     }
 
@@ -321,21 +321,21 @@
     pub fn take_outbox(&self) -> Outbox {
         let now = self.now();
         let mut outbox = self.outbox.take();
-        let mut tellings = self.tellings.borrow_mut();
-        for (fingerprint, telling) in tellings.iter_mut() {
-            if telling.next_at <= now {
-                outbox.news.push(*fingerprint);
-                telling.left -= 1;
-                telling.next_at = now + BETWEEN_TELLINGS;
+        let mut announcements = self.announcements.borrow_mut();
+        for (fingerprint, announcement) in announcements.iter_mut() {
+            if announcement.next_at <= now {
+                outbox.updates.push(*fingerprint);
+                announcement.left -= 1;
+                announcement.next_at = now + ANNOUNCE_INTERVAL;
             }
         }
-        tellings.retain(|_, telling| telling.left > 0);
+        announcements.retain(|_, announcement| announcement.left > 0);
         outbox
     }
 
     /// Whether news are to be told once more.
-    pub fn has_news(&self) -> bool {
-        !self.tellings.borrow().is_empty()
+    pub fn has_announcements(&self) -> bool {
+        !self.announcements.borrow().is_empty()
     }
 
     fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
@@ -344,34 +344,40 @@
         record.is_some_and(|record| record.is_quarantined)
     }
 
-    fn tell_cleared(&self, fingerprint: Fingerprint, cleared: Option<Cleared>) -> Option<Cleared> {
+    fn announce_if_shared(
+        &self,
+        fingerprint: Fingerprint,
+        cleared: Option<Cleared>,
+    ) -> Option<Cleared> {
         let cleared = cleared?;
-        if cleared.is_for_all {
-            self.tell_all(fingerprint);
+        if cleared.is_shared {
+            self.announce(fingerprint);
         }
         Some(cleared)
     }
 
-    fn spread(&self, fingerprint: Fingerprint, news: News, teller: Teller) {
-        if news == News::Quarantined {
-            self.log_quarantined(fingerprint, teller);
+    fn handle_update(&self, fingerprint: Fingerprint, update: RecordUpdate, source: RecordSource) {
+        if update == RecordUpdate::Quarantined {
+            self.log_quarantined(fingerprint, source);
         }
-        if news != News::Nothing {
-            self.tell_all(fingerprint);
+        if update != RecordUpdate::NotShared {
+            self.announce(fingerprint);
         }
     }
 
-    fn tell_all(&self, fingerprint: Fingerprint) {
-        let telling = Telling {
-            left: TELLINGS,
+    fn announce(&self, fingerprint: Fingerprint) {
+        let announcement = Announcement {
+            left: ANNOUNCEMENTS,
             next_at: Duration::ZERO,
         };
-        self.tellings.borrow_mut().insert(fingerprint, telling);
-        self.told.notify_one();
-        self.kept.notify_one();
+        self.announcements
+            .borrow_mut()
+            .insert(fingerprint, announcement);
+        self.announce_wakeup.notify_one();
+        self.store_wakeup.notify_one();
     }
 
-    fn log_quarantined(&self, fingerprint: Fingerprint, teller: Teller) {
+    fn log_quarantined(&self, fingerprint: Fingerprint, source: RecordSource) {
         let ledger = self.ledger.borrow();
         let Some(record) = ledger.get(fingerprint) else {
             return;
@@ -382,10 +388,10 @@
             .collect();
         log_event!(
             gateway::REQUEST_QUARANTINED,
-            "fingerprint={fingerprint} count={} replica_digests={replicas:?} generation={} good_ends={} rivals={} told_by={teller:?}",
+            "fingerprint={fingerprint} count={} replica_digests={replicas:?} generation={} good_ends={} rivals={} told_by={source:?}",
             record.count(),
             record.generation,
-            record.good_ends,
+            record.completions,
             ledger.rivals(fingerprint).len()
         );
     }
--- a/crates/gateway/src/quarantine/kept.rs
+++ b/crates/gateway/src/quarantine/stored_state.rs
@@ -4,21 +4,21 @@
 
 /// How the store's object compares with a daemon's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kept {
+pub enum StoredState {
     /// It says all that the record says.
-    Whole,
+    Current,
     /// It says less: it is to be written over.
-    Part,
+    Outdated,
     /// The request was cleared or released since: the record is outdated.
-    Later,
+    Newer,
 }
 
 /// Compares what the store keeps with a daemon's record. A store that came back from a copy may keep an earlier state.
-pub fn compare(kept: &QuarantineRecord, own: &QuarantineRecord) -> Kept {
+pub fn compare(kept: &QuarantineRecord, own: &QuarantineRecord) -> StoredState {
     if kept.generation != own.generation {
         return match kept.generation > own.generation {
-            true => Kept::Later,
-            false => Kept::Part,
+            true => StoredState::Newer,
+            false => StoredState::Outdated,
         };
     }
     let says_replicas = own
@@ -28,7 +28,7 @@
     let says_quarantined = kept.is_quarantined >= own.is_quarantined;
     let says_trials = kept.trials >= own.trials && kept.apart_trials >= own.apart_trials;
     match says_replicas && says_quarantined && says_trials {
-        true => Kept::Whole,
-        false => Kept::Part,
+        true => StoredState::Current,
+        false => StoredState::Outdated,
     }
 }
--- a/crates/gateway/src/quota/group_use.rs
+++ b/crates/gateway/src/quota/group_use.rs
@@ -8,26 +8,26 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::usage::{COUNTED_BACK, LeastDelay, Totals};
+use super::usage::{BASELINE_LOOKBACK, MinDelay, Totals};
 use crate::peers::message::WireTotals;
 
 /// The time over which use is averaged, and over which what is left in the bucket is given out. It is well over the
 /// time in which daemons hear of each other's use (some 100 ms), so that they don't swing.
-pub(super) const AVERAGING: Duration = Duration::from_secs(1);
+pub(super) const AVERAGING_WINDOW: Duration = Duration::from_secs(1);
 
 /// For how long a group that is not heard of is taken to use what it did. A machine that is cut off for longer can't
 /// know that the keys of its tenants are still valid.
-pub(super) const ASSUMED_FOR: Duration = Duration::from_secs(8);
+pub(super) const ASSUMED_USAGE_WINDOW: Duration = Duration::from_secs(8);
 
 /// The silence of a group from which on its use is assumed: its leader tells each 200 ms at the least.
-pub(super) const SILENCE: Duration = Duration::from_millis(500);
+pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long after a group is heard again its reports make up for the silence: what a new leader was not told yet, or what
 /// waited at this daemon while it stood still. What was assumed and is not reported by then was not used.
-const MADE_UP_FOR: Duration = Duration::from_millis(250);
+const CATCH_UP_WINDOW: Duration = Duration::from_millis(250);
 
 /// The shortest time, in seconds, over which a rate is taken: a single request in a shorter one would look like a rush.
-const SHORTEST_TIME: f64 = 0.25;
+const MIN_RATE_SECONDS: f64 = 0.25;
 
 /// Where a report comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,182 +42,199 @@
 
 /// What one leader told last, and when.
 #[derive(Debug, Clone, Copy, Default)]
-struct LastReport {
+struct LeaderUsage {
     /// Nothing before it told of this tenant: what it has counted since it began is not known.
     totals: Option<Totals>,
     sent: Option<Duration>,
-    heard_at: Duration,
-    lately: Lately,
-    delay: LeastDelay,
+    reported_at: Duration,
+    usage: DecayingUsage,
+    delay: MinDelay,
 }
 
 /// What was used lately, which counts the less the longer ago it was.
 #[derive(Debug, Clone, Copy, Default)]
-struct Lately {
+struct DecayingUsage {
     /// The time over which that was, in seconds.
-    time: f64,
+    seconds: f64,
     asked: f64,
     admitted: f64,
 }
 
-impl Lately {
+impl DecayingUsage {
     /// Adds what was used in the time `passed`. It counts as if it had come evenly, so that a report that makes up for a
     /// silence is no rush.
     fn add(&mut self, passed: Duration, asked: f64, admitted: f64) {
         let passed = passed.as_secs_f64();
-        let averaging = AVERAGING.as_secs_f64();
-        let faded = (-passed / averaging).exp();
-        let of_more = match passed > 0.0 {
-            true => (1.0 - faded) * averaging / passed,
+        let averaging = AVERAGING_WINDOW.as_secs_f64();
+        let decay = (-passed / averaging).exp();
+        let gain = match passed > 0.0 {
+            true => (1.0 - decay) * averaging / passed,
             false => 1.0,
         };
-        self.time = self.time * faded + passed * of_more;
-        self.asked = self.asked * faded + asked * of_more;
-        self.admitted = self.admitted * faded + admitted * of_more;
+        self.seconds = self.seconds * decay + passed * gain;
+        self.asked = self.asked * decay + asked * gain;
+        self.admitted = self.admitted * decay + admitted * gain;
     }
 
     /// Units a second that were asked for.
     fn asked_rate(&self) -> f64 {
-        self.asked / self.time.max(SHORTEST_TIME)
+        self.asked / self.seconds.max(MIN_RATE_SECONDS)
     }
 
     /// Units a second that were admitted.
     fn admitted_rate(&self) -> f64 {
-        self.admitted / self.time.max(SHORTEST_TIME)
+        self.admitted / self.seconds.max(MIN_RATE_SECONDS)
     }
 }
 
-impl LastReport {
+impl LeaderUsage {
     /// Whether a report that was told at `sent` was told before one that is known. Reports overtake each other, and a
     /// daemon that stood still passes on old ones: their totals are lower, and would make the next ones count again.
-    fn is_overtaken(&self, sent: Option<Duration>) -> bool {
+    fn is_out_of_order(&self, sent: Option<Duration>) -> bool {
         let both = sent.zip(self.sent);
         both.is_some_and(|(sent, known)| sent < known)
     }
 
     /// Whether a report that was told at `sent` and is taken in at `now` has waited somewhere: it says nothing of whether its
     /// leader still tells.
-    fn is_late(&mut self, sent: Option<Duration>, now: Duration) -> bool {
-        sent.is_some_and(|sent| self.delay.is_late(sent, now))
+    fn is_delayed(&mut self, sent: Option<Duration>, now: Duration) -> bool {
+        sent.is_some_and(|sent| self.delay.is_delayed(sent, now))
     }
 
     /// Takes in totals that were told at `sent` and heard at `now`, or that nothing more was used; what was admitted beyond
     /// those before. Rates are of the leader's time: reports that waited somewhere come together.
-    fn hear(&mut self, now: Duration, sent: Option<Duration>, told: Option<&WireTotals>) -> f64 {
-        let more = told.map_or_else(Totals::default, |told| {
-            let earlier = self.totals.unwrap_or_else(|| told.before());
-            self.totals = Some(earlier.later(&told.totals()));
-            told.totals().since(&earlier)
+    fn apply_report(
+        &mut self,
+        now: Duration,
+        sent: Option<Duration>,
+        report_totals: Option<&WireTotals>,
+    ) -> f64 {
+        let increase = report_totals.map_or_else(Totals::default, |report_totals| {
+            let earlier = self.totals.unwrap_or_else(|| report_totals.baseline());
+            self.totals = Some(earlier.max_with(&report_totals.totals()));
+            report_totals.totals().since(&earlier)
         });
-        let (asked, admitted) = (more.asked as f64, more.admitted as f64);
-        let told_since = sent.zip(self.sent);
-        let passed = told_since.map_or_else(
-            || now.saturating_sub(self.heard_at),
+        let (asked, admitted) = (increase.asked as f64, increase.admitted as f64);
+        let previous_sent = sent.zip(self.sent);
+        let passed = previous_sent.map_or_else(
+            || now.saturating_sub(self.reported_at),
             |(sent, before)| sent.saturating_sub(before),
         );
-        self.lately.add(passed, asked, admitted);
+        self.usage.add(passed, asked, admitted);
         self.sent = sent;
-        self.heard_at = now;
+        self.reported_at = now;
         admitted
     }
 
     /// One that was not heard before, as if it had told some time ago of what one counts from. It has taken over the members
-    /// of another one, of whose use `lately` tells.
-    fn begin(now: Duration, sent: Option<Duration>, lately: Lately) -> Self {
+    /// of another one, of whose use `usage` tells.
+    fn new(now: Duration, sent: Option<Duration>, usage: DecayingUsage) -> Self {
         Self {
             totals: None,
-            sent: sent.map(|sent| sent.saturating_sub(COUNTED_BACK)),
-            heard_at: now.saturating_sub(COUNTED_BACK),
-            lately,
-            delay: LeastDelay::default(),
+            sent: sent.map(|sent| sent.saturating_sub(BASELINE_LOOKBACK)),
+            reported_at: now.saturating_sub(BASELINE_LOOKBACK),
+            usage,
+            delay: MinDelay::default(),
         }
     }
 }
 
 /// What a tenant used in one group.
 #[derive(Debug, Default)]
-pub struct GroupUse {
+pub struct ReportedUsage {
     /// What each leader told, by its life.
-    leaders: HashMap<u64, LastReport>,
-    heard_at: Duration,
+    leaders: HashMap<u64, LeaderUsage>,
+    reported_at: Duration,
     /// What is taken to have been admitted while nothing was heard and was not reported since, and up to when.
     assumed: f64,
     assumed_until: Duration,
     /// When the group was heard again after a silence.
-    heard_again_at: Duration,
+    resumed_at: Duration,
     /// Whether the reports since then tell of all that was used in the silence: a leader that was not heard before
     /// may have begun after it.
-    is_made_up_for: bool,
+    has_complete_reports: bool,
 }
 
-impl GroupUse {
+impl ReportedUsage {
     /// Whether nothing was heard of the group yet.
-    pub fn is_unheard(&self) -> bool {
+    pub fn has_no_reports(&self) -> bool {
         self.leaders.is_empty()
     }
 
     /// When the group was last heard.
-    pub fn heard_at(&self) -> Duration {
-        self.heard_at
+    pub fn reported_at(&self) -> Duration {
+        self.reported_at
     }
 
     /// Takes in totals at `now`, or that nothing more was used; returns what was admitted beyond what is known or was assumed.
-    pub fn hear(&mut self, now: Duration, report: &GroupReport, told: Option<&WireTotals>) -> f64 {
+    pub fn apply_report(
+        &mut self,
+        now: Duration,
+        report: &GroupReport,
+        report_totals: Option<&WireTotals>,
+    ) -> f64 {
         let known = self.leaders.get(&report.leader).copied();
-        if known.is_some_and(|leader| leader.is_overtaken(report.sent)) {
+        if known.is_some_and(|leader| leader.is_out_of_order(report.sent)) {
             return 0.0;
         }
-        let mut leader =
-            known.unwrap_or_else(|| LastReport::begin(now, report.sent, self.take_over()));
+        let mut leader = known.unwrap_or_else(|| {
+            LeaderUsage::new(now, report.sent, self.take_usage_of_last_leader())
+        });
         // One that waited here while this daemon stood still does not end a silence: its leader may be gone by now.
-        let is_late = leader.is_late(report.sent, now);
-        let heard_at = if is_late { leader.heard_at } else { now };
-        let admitted = leader.hear(now, report.sent, told);
-        leader.heard_at = heard_at;
+        let is_delayed = leader.is_delayed(report.sent, now);
+        let reported_at = if is_delayed { leader.reported_at } else { now };
+        let admitted = leader.apply_report(now, report.sent, report_totals);
+        leader.reported_at = reported_at;
         self.leaders.insert(report.leader, leader);
         self.leaders
-            .retain(|_, leader| now < leader.heard_at + ASSUMED_FOR);
-        if !is_late {
-            self.note_heard(now, known.is_some());
+            .retain(|_, leader| now < leader.reported_at + ASSUMED_USAGE_WINDOW);
+        if !is_delayed {
+            self.note_report(now, known.is_some());
         }
-        let was_assumed = admitted.min(self.assumed);
-        self.assumed -= was_assumed;
-        admitted - was_assumed
+        let already_assumed = admitted.min(self.assumed);
+        self.assumed -= already_assumed;
+        admitted - already_assumed
     }
 
     /// Takes in that the group is heard at `now`, by a leader that is known or by another one.
-    fn note_heard(&mut self, now: Duration, is_known: bool) {
-        if now > self.heard_at + SILENCE {
-            self.heard_again_at = now;
-            self.is_made_up_for = true;
+    fn note_report(&mut self, now: Duration, is_known: bool) {
+        if now > self.reported_at + SILENCE_TIMEOUT {
+            self.resumed_at = now;
+            self.has_complete_reports = true;
         }
-        self.is_made_up_for &= is_known;
-        self.heard_at = now;
+        self.has_complete_reports &= is_known;
+        self.reported_at = now;
         self.assumed_until = now;
     }
 
     /// What the members used lately of the leader that was heard last, and that another one leads now.
-    fn take_over(&mut self) -> Lately {
+    fn take_usage_of_last_leader(&mut self) -> DecayingUsage {
         let leaders = self.leaders.values_mut();
-        let latest = leaders.max_by_key(|leader| leader.heard_at);
-        latest.map_or_else(Lately::default, |leader| std::mem::take(&mut leader.lately))
+        let latest = leaders.max_by_key(|leader| leader.reported_at);
+        latest.map_or_else(DecayingUsage::default, |leader| {
+            std::mem::take(&mut leader.usage)
+        })
     }
 
     /// What is taken to have been admitted since the last call, where the group is silent at `now`; less than nothing where
     /// it was heard again, and more was assumed than it reported.
-    pub fn assume(&mut self, now: Duration) -> f64 {
-        let is_heard = now < self.heard_at + SILENCE;
-        if is_heard && now >= self.heard_again_at + MADE_UP_FOR {
+    pub fn assume_usage(&mut self, now: Duration) -> f64 {
+        let is_heard = now < self.reported_at + SILENCE_TIMEOUT;
+        if is_heard && now >= self.resumed_at + CATCH_UP_WINDOW {
             let unused = std::mem::take(&mut self.assumed);
-            return if self.is_made_up_for { -unused } else { 0.0 };
+            return if self.has_complete_reports {
+                -unused
+            } else {
+                0.0
+            };
         }
-        let last = self.heard_at + ASSUMED_FOR;
-        let from = self.assumed_until.max(self.heard_at + SILENCE);
-        let until = now.min(last);
+        let assumed_end = self.reported_at + ASSUMED_USAGE_WINDOW;
+        let from = self.assumed_until.max(self.reported_at + SILENCE_TIMEOUT);
+        let until = now.min(assumed_end);
         if until <= from {
             return 0.0;
         }
-        let rate = self.sum_of(now, Lately::admitted_rate);
+        let rate = self.sum_rates(now, DecayingUsage::admitted_rate);
         let assumed = rate * (until - from).as_secs_f64();
         self.assumed_until = until;
         self.assumed += assumed;
@@ -226,19 +243,19 @@
 
     /// Units a second that are asked for; while the group is silent, what was asked for before.
     pub fn asked_rate(&self, now: Duration) -> f64 {
-        match now < self.heard_at + ASSUMED_FOR {
-            true => self.sum_of(now, Lately::asked_rate),
+        match now < self.reported_at + ASSUMED_USAGE_WINDOW {
+            true => self.sum_rates(now, DecayingUsage::asked_rate),
             false => 0.0,
         }
     }
 
     /// A sum over the leaders that tell; one that fell silent before the others has no members any more.
-    fn sum_of(&self, now: Duration, rate: impl Fn(&Lately) -> f64) -> f64 {
-        let tells_until = now.min(self.heard_at);
-        let telling = self
+    fn sum_rates(&self, now: Duration, rate: impl Fn(&DecayingUsage) -> f64) -> f64 {
+        let latest_report = now.min(self.reported_at);
+        let reporting = self
             .leaders
             .values()
-            .filter(|leader| tells_until < leader.heard_at + SILENCE);
-        telling.map(|leader| rate(&leader.lately)).sum()
+            .filter(|leader| latest_report < leader.reported_at + SILENCE_TIMEOUT);
+        reporting.map(|leader| rate(&leader.usage)).sum()
     }
 }
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -21,5 +21,5 @@
 pub mod shared;
 pub mod usage;
 
-pub use limit::{Refused, Tolerance};
+pub use limit::{QuotaExceeded, Tolerance};
 pub use shared::{Charge, Quotas};
--- a/crates/gateway/src/quota/shared.rs
+++ b/crates/gateway/src/quota/shared.rs
@@ -8,20 +8,20 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::group_use::GroupReport;
-use super::limit::{Refused, TOLD_AFTER, TenantLimit, Tolerance};
-use super::usage::{COUNTED_BACK, GroupUsage, TenantTotals, Totals};
+use super::limit::{QuotaExceeded, REPORT_LATENCY, TenantLimit, Tolerance};
+use super::usage::{BASELINE_LOOKBACK, GroupSums, TenantTotals, Totals};
 use crate::configuration::Tenant;
 use crate::peers::message::{WireGroupUsage, WireTotals, WireUsage};
 use crate::peers::to_ms;
 
 /// Reports of other groups that are kept for the next report to the own group; more are dropped, and made up for by
 /// later ones.
-const MOST_INCOMING: usize = 256;
+const MAX_QUEUED_REPORTS: usize = 256;
 
 /// The limits of all tenants.
 #[derive(Debug)]
 pub struct Quotas {
-    began: Instant,
+    started_at: Instant,
     own_group: Cell<u64>,
     known_groups: Cell<usize>,
     /// The digest of the name of the daemon that sums up what this daemon's group uses.
@@ -29,29 +29,29 @@
     tolerance: RefCell<Tolerance>,
     limits: RefCell<HashMap<u64, TenantLimit>>,
     /// What this daemon's requests used.
-    own: RefCell<TenantTotals>,
+    own_totals: RefCell<TenantTotals>,
     /// What was charged for requests that did not run, by tenant; it makes up for what is charged next.
-    returned: RefCell<HashMap<u64, u64>>,
+    refunds: RefCell<HashMap<u64, u64>>,
     /// What the group used, where this daemon leads it.
-    group: RefCell<GroupUsage>,
+    group_sums: RefCell<GroupSums>,
     /// What other groups told since the last report to the own group.
-    incoming: RefCell<Vec<WireGroupUsage>>,
+    queued_reports: RefCell<Vec<WireGroupUsage>>,
 }
 
 impl Quotas {
     /// Limits that are kept with `tolerance`; nothing was used by `began`.
-    pub fn new(tolerance: Tolerance, began: Instant) -> Self {
+    pub fn new(tolerance: Tolerance, started_at: Instant) -> Self {
         Self {
-            began,
+            started_at,
             own_group: Cell::new(0),
             known_groups: Cell::new(0),
             leader: Cell::new(0),
             tolerance: RefCell::new(tolerance),
             limits: RefCell::default(),
-            own: RefCell::default(),
-            returned: RefCell::default(),
-            group: RefCell::default(),
-            incoming: RefCell::default(),
+            own_totals: RefCell::default(),
+            refunds: RefCell::default(),
+            group_sums: RefCell::default(),
+            queued_reports: RefCell::default(),
         }
     }
 
@@ -73,11 +73,11 @@
 
     /// The time of this daemon's reports, in milliseconds since the limits were set up.
     pub fn now_ms(&self, now: Instant) -> u64 {
-        to_ms(self.since_begin(now))
+        to_ms(self.since_start(now))
     }
 
-    fn since_begin(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.began)
+    fn since_start(&self, now: Instant) -> Duration {
+        now.saturating_duration_since(self.started_at)
     }
 
     /// Decides on a request of `tenant` whose prompt and answer are of `tokens`, where it says so; `draw` is random
@@ -92,13 +92,13 @@
         tokens: Option<u64>,
         draw: f64,
         now: Instant,
-    ) -> Result<Option<Charge>, (Refused, String)> {
+    ) -> Result<Option<Charge>, (QuotaExceeded, String)> {
         let Some(quota) = tenant.quota else {
             return Ok(None);
         };
         let key = digest(tenant);
         let cost = quota.cost(tokens);
-        let now = self.since_begin(now);
+        let now = self.since_start(now);
         let tolerance = *self.tolerance.borrow();
         let mut limits = self.limits.borrow_mut();
         let known_groups = self.known_groups.get();
@@ -108,14 +108,14 @@
         limit.set(quota, tolerance);
         let decision = limit.admit(now, cost as f64, known_groups, draw);
         let admitted = match decision {
-            Ok(()) => self.charged(key, cost),
+            Ok(()) => self.cost_after_refunds(key, cost),
             Err(_) => 0,
         };
         let used = Totals {
             asked: cost,
             admitted,
         };
-        self.own.borrow_mut().add(key, now, &used);
+        self.own_totals.borrow_mut().add(key, now, &used);
         match decision {
             Ok(()) => Ok(Some(Charge { tenant: key, cost })),
             Err(refused) => Err((refused, limit.describe(now, known_groups))),
@@ -123,24 +123,24 @@
     }
 
     /// What is told to have been admitted for a request of `cost`.
-    fn charged(&self, tenant: u64, cost: u64) -> u64 {
-        let mut returned = self.returned.borrow_mut();
-        let Some(left) = returned.get_mut(&tenant) else {
+    fn cost_after_refunds(&self, tenant: u64, cost: u64) -> u64 {
+        let mut refunds = self.refunds.borrow_mut();
+        let Some(remaining) = refunds.get_mut(&tenant) else {
             return cost;
         };
-        let used = cost.min(*left);
-        *left -= used;
-        cost - used
+        let refunded = cost.min(*remaining);
+        *remaining -= refunded;
+        cost - refunded
     }
 
     /// Gives back what was charged for a request that has not run.
-    pub fn give_back(&self, charge: Charge) {
-        *self.returned.borrow_mut().entry(charge.tenant).or_default() += charge.cost;
+    pub fn refund(&self, charge: Charge) {
+        *self.refunds.borrow_mut().entry(charge.tenant).or_default() += charge.cost;
     }
 
     /// Begins to count for the tenants of a configuration that have limits, before their first requests come here.
     pub fn set_tenants<'a>(&self, tenants: impl Iterator<Item = &'a Tenant>, now: Instant) {
-        let now = self.since_begin(now);
+        let now = self.since_start(now);
         let tolerance = *self.tolerance.borrow();
         let mut limits = self.limits.borrow_mut();
         let mut limited = HashSet::new();
@@ -159,29 +159,31 @@
     }
 
     /// Whether any tenant has a limit.
-    pub fn are_in_force(&self) -> bool {
+    pub fn has_limits(&self) -> bool {
         !self.limits.borrow().is_empty()
     }
 
     /// Takes in what a member of the group used.
-    pub fn take_member(&self, usage: &WireUsage, now: Instant) {
-        let now = self.since_begin(now);
-        self.group.borrow_mut().take(usage, now);
+    pub fn record_member_usage(&self, usage: &WireUsage, now: Instant) {
+        let now = self.since_start(now);
+        self.group_sums.borrow_mut().record_member(usage, now);
     }
 
     /// Takes in what a group used.
-    pub fn take_group(&self, usage: &WireGroupUsage, now: Instant) {
-        let now = self.since_begin(now);
+    pub fn record_group_usage(&self, usage: &WireGroupUsage, now: Instant) {
+        let now = self.since_start(now);
         let group = xxh3_64(usage.group.as_bytes());
         let own = self.own_group.get();
         // A daemon of an earlier version does not say who it is.
         let is_from_leader = usage.leader == 0 || usage.leader == self.leader.get();
         if group == own && is_from_leader {
             // What it told before that is in these sums.
-            let told_until = now.saturating_sub(TOLD_AFTER);
-            self.own.borrow_mut().settle(told_until);
+            let reported_until = now.saturating_sub(REPORT_LATENCY);
+            self.own_totals
+                .borrow_mut()
+                .advance_baseline(reported_until);
         }
-        let told: HashMap<u64, &WireTotals> = usage
+        let reported: HashMap<u64, &WireTotals> = usage
             .totals
             .iter()
             .map(|totals| (totals.tenant, totals))
@@ -192,35 +194,38 @@
             sent: usage.sent_ms.map(Duration::from_millis),
         };
         for (tenant, limit) in self.limits.borrow_mut().iter_mut() {
-            let totals = told.get(tenant).copied();
-            limit.hear(now, own, report, totals);
+            let totals = reported.get(tenant).copied();
+            limit.apply_report(now, own, report, totals);
         }
     }
 
     /// Keeps what another group told for the next report to the own group.
-    pub fn pass_on(&self, usage: WireGroupUsage) {
-        let mut incoming = self.incoming.borrow_mut();
-        if incoming.len() < MOST_INCOMING {
-            incoming.push(usage);
+    pub fn queue_group_report(&self, usage: WireGroupUsage) {
+        let mut queued_reports = self.queued_reports.borrow_mut();
+        if queued_reports.len() < MAX_QUEUED_REPORTS {
+            queued_reports.push(usage);
         }
     }
 
     /// What other groups told since the last call.
-    pub fn take_incoming(&self) -> Vec<WireGroupUsage> {
-        self.incoming.take()
+    pub fn take_queued_reports(&self) -> Vec<WireGroupUsage> {
+        self.queued_reports.take()
     }
 
     /// What this daemon's tenants used lately.
     pub fn own_usage(&self, now: Instant) -> Vec<WireTotals> {
-        self.own.borrow().lately_changed(self.since_begin(now))
+        self.own_totals
+            .borrow()
+            .recently_changed(self.since_start(now))
     }
 
     /// What the group's tenants used lately, as its members told this daemon.
     pub fn group_usage(&self, now: Instant) -> Vec<WireTotals> {
-        let now = self.since_begin(now);
-        let mut group = self.group.borrow_mut();
-        group.sums.settle(now.saturating_sub(COUNTED_BACK));
-        group.sums.lately_changed(now)
+        let now = self.since_start(now);
+        let mut sums = self.group_sums.borrow_mut();
+        sums.totals
+            .advance_baseline(now.saturating_sub(BASELINE_LOOKBACK));
+        sums.totals.recently_changed(now)
     }
 }
 
--- a/crates/gateway/src/quota/usage.rs
+++ b/crates/gateway/src/quota/usage.rs
@@ -6,24 +6,24 @@
 use crate::peers::message::{WireTotals, WireUsage};
 
 /// For how long totals are told again after they have changed, since a report may be lost.
-const TOLD_FOR: Duration = Duration::from_secs(1);
+const REPORT_REPEAT_WINDOW: Duration = Duration::from_secs(1);
 
 /// How far back one counts who hears of the sums of a leader for the first time. A leader that has just taken over began
-/// with nothing, and is heard of within that time, so all that it counted counts.
-pub const COUNTED_BACK: Duration = Duration::from_millis(500);
+/// with nothing, and is heard of within that time, so all that it counter counts.
+pub const BASELINE_LOOKBACK: Duration = Duration::from_millis(500);
 
 /// Totals of the past are kept apart that lie so far apart in time: the time between two reports.
-const GRAIN: Duration = Duration::from_millis(50);
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Totals of the past that are kept for one tenant; while a leader is silent for longer than they reach back, the oldest give way.
-const MAX_PAST: usize = 40;
+const MAX_SNAPSHOTS: usize = 40;
 
 /// How much later than usual a report comes that is late. One of a member is of no use: its member was told by then that
-/// another daemon leads, which has counted that. A daemon that stood still finds many such reports.
-const LATE: Duration = Duration::from_millis(500);
+/// another daemon leads, which has counter that. A daemon that stood still finds many such reports.
+const LATE_THRESHOLD: Duration = Duration::from_millis(500);
 
 /// For how long the usual time of reports holds: clocks drift apart by less than a millisecond in that time.
-const USUAL_FOR: Duration = Duration::from_secs(10);
+const MIN_DELAY_WINDOW: Duration = Duration::from_secs(10);
 
 /// What one tenant used, in the unit of its limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     }
 
     /// The higher of both: totals only rise.
-    pub(super) fn later(&self, other: &Self) -> Self {
+    pub(super) fn max_with(&self, other: &Self) -> Self {
         Self {
             asked: self.asked.max(other.asked),
             admitted: self.admitted.max(other.admitted),
@@ -67,7 +67,7 @@
     }
 
     /// The totals from which one counts who was not told before.
-    pub fn before(&self) -> Totals {
+    pub fn baseline(&self) -> Totals {
         Totals {
             asked: self.asked_before,
             admitted: self.admitted_before,
@@ -77,34 +77,36 @@
 
 /// The totals of one tenant.
 #[derive(Debug, Default)]
-struct Counted {
+struct TenantCounter {
     totals: Totals,
     changed_at: Duration,
     /// The totals from which one counts who was not told before.
-    before: Totals,
+    baseline: Totals,
     /// Earlier totals, each with the moment by which they had been reached, the latest last.
-    past: VecDeque<(Duration, Totals)>,
+    snapshots: VecDeque<(Duration, Totals)>,
 }
 
-impl Counted {
+impl TenantCounter {
     fn add(&mut self, now: Duration, more: &Totals) {
         self.totals.add(more);
         self.changed_at = now;
-        match self.past.back_mut() {
-            Some((at, totals)) if now < *at + GRAIN => *totals = self.totals,
-            _ => self.past.push_back((now + GRAIN, self.totals)),
+        match self.snapshots.back_mut() {
+            Some((at, totals)) if now < *at + SNAPSHOT_INTERVAL => *totals = self.totals,
+            _ => self
+                .snapshots
+                .push_back((now + SNAPSHOT_INTERVAL, self.totals)),
         }
-        if self.past.len() > MAX_PAST {
-            self.past.pop_front();
+        if self.snapshots.len() > MAX_SNAPSHOTS {
+            self.snapshots.pop_front();
         }
     }
 
-    fn settle(&mut self, until: Duration) {
-        while let Some((at, totals)) = self.past.front()
+    fn advance_baseline(&mut self, until: Duration) {
+        while let Some((at, totals)) = self.snapshots.front()
             && *at <= until
         {
-            self.before = *totals;
-            self.past.pop_front();
+            self.baseline = *totals;
+            self.snapshots.pop_front();
         }
     }
 }
@@ -112,7 +114,7 @@
 /// Totals by tenant.
 #[derive(Debug, Default)]
 pub struct TenantTotals {
-    by_tenant: HashMap<u64, Counted>,
+    by_tenant: HashMap<u64, TenantCounter>,
 }
 
 impl TenantTotals {
@@ -122,23 +124,23 @@
     }
 
     /// From now on one who was not told before counts from what had been reached by `until`.
-    pub fn settle(&mut self, until: Duration) {
-        for counted in self.by_tenant.values_mut() {
-            counted.settle(until);
+    pub fn advance_baseline(&mut self, until: Duration) {
+        for counter in self.by_tenant.values_mut() {
+            counter.advance_baseline(until);
         }
     }
 
     /// Those that changed lately.
-    pub fn lately_changed(&self, now: Duration) -> Vec<WireTotals> {
+    pub fn recently_changed(&self, now: Duration) -> Vec<WireTotals> {
         let all = self.by_tenant.iter();
-        let lately = all.filter(|(_, counted)| now < counted.changed_at + TOLD_FOR);
-        lately
-            .map(|(tenant, counted)| WireTotals {
+        let recent = all.filter(|(_, counter)| now < counter.changed_at + REPORT_REPEAT_WINDOW);
+        recent
+            .map(|(tenant, counter)| WireTotals {
                 tenant: *tenant,
-                asked: counted.totals.asked,
-                admitted: counted.totals.admitted,
-                asked_before: counted.before.asked,
-                admitted_before: counted.before.admitted,
+                asked: counter.totals.asked,
+                admitted: counter.totals.admitted,
+                asked_before: counter.baseline.asked,
+                admitted_before: counter.baseline.admitted,
             })
             .collect()
     }
@@ -146,9 +148,9 @@
 
 /// The sums of a group, kept by its leader.
 #[derive(Debug, Default)]
-pub struct GroupUsage {
+pub struct GroupSums {
     /// The sums since this daemon began to keep them.
-    pub sums: TenantTotals,
+    pub totals: TenantTotals,
     members: HashMap<u64, Member>,
 }
 
@@ -157,36 +159,36 @@
 struct Member {
     life: u64,
     totals: HashMap<u64, Totals>,
-    delay: LeastDelay,
+    delay: MinDelay,
 }
 
 /// The least of the differences between another daemon's clock and this one's that its reports showed lately: that of a
 /// report which came at once.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct LeastDelay {
-    least: Option<i128>,
-    least_before: Option<i128>,
+pub(super) struct MinDelay {
+    min: Option<i128>,
+    previous_min: Option<i128>,
     began: Duration,
 }
 
-impl LeastDelay {
+impl MinDelay {
     /// Whether a report that was told at `sent` and is taken in at `now` has come much later than others.
-    pub(super) fn is_late(&mut self, sent: Duration, now: Duration) -> bool {
+    pub(super) fn is_delayed(&mut self, sent: Duration, now: Duration) -> bool {
         let in_micros = |time: Duration| i128::try_from(time.as_micros()).unwrap_or(i128::MAX);
         let delay = in_micros(now) - in_micros(sent);
-        let least = self.least.into_iter().chain(self.least_before).min();
-        if now >= self.began + USUAL_FOR {
-            self.least_before = self.least.take();
+        let min = self.min.into_iter().chain(self.previous_min).min();
+        if now >= self.began + MIN_DELAY_WINDOW {
+            self.previous_min = self.min.take();
             self.began = now;
         }
-        self.least = Some(self.least.unwrap_or(delay).min(delay));
-        least.is_some_and(|least| delay > least + in_micros(LATE))
+        self.min = Some(self.min.unwrap_or(delay).min(delay));
+        min.is_some_and(|min| delay > min + in_micros(LATE_THRESHOLD))
     }
 }
 
-impl GroupUsage {
+impl GroupSums {
     /// Adds what a member used since it told last, or since the sums of another leader held what it used.
-    pub fn take(&mut self, usage: &WireUsage, now: Duration) {
+    pub fn record_member(&mut self, usage: &WireUsage, now: Duration) {
         let member = self.members.entry(usage.daemon).or_default();
         if member.life != usage.life {
             *member = Member {
@@ -195,17 +197,17 @@
             };
         }
         let sent = usage.sent_ms.map(Duration::from_millis);
-        if sent.is_some_and(|sent| member.delay.is_late(sent, now)) {
+        if sent.is_some_and(|sent| member.delay.is_delayed(sent, now)) {
             return;
         }
         for wire in &usage.totals {
-            let told = wire.totals();
+            let reported = wire.totals();
             let known = member.totals.entry(wire.tenant).or_default();
-            let earlier = known.later(&wire.before());
-            *known = known.later(&told);
-            let more = told.since(&earlier);
+            let earlier = known.max_with(&wire.baseline());
+            *known = known.max_with(&reported);
+            let more = reported.since(&earlier);
             if more != Totals::default() {
-                self.sums.add(wire.tenant, now, &more);
+                self.totals.add(wire.tenant, now, &more);
             }
         }
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -322,7 +322,8 @@
         let known = self.registry.get(&entry.incarnation.id);
         if let Some(before) = known.filter(|known| known.life.is_before(&entry.incarnation)) {
             let after = entry.incarnation.digest();
-            self.quarantine.note_next_life(before.life_hash, after);
+            self.quarantine
+                .note_next_incarnation(before.life_hash, after);
         }
     }
 
@@ -337,7 +338,7 @@
         let has_left = listed.as_ref().is_some_and(|replica| replica.is_leaving());
         if !self.registry.remove(id, keep_until) {
             if let Some(gone) = listed {
-                self.quarantine.note_gone_life(gone.life_hash);
+                self.quarantine.note_removed_incarnation(gone.life_hash);
             }
             // A replica that lapsed during an outage may be alive, and is not recorded as gone.
             store::copied_entries::note_gone(self, id, known);
--- a/crates/gateway/src/store/era.rs
+++ b/crates/gateway/src/store/era.rs
@@ -237,7 +237,7 @@
     state.store.clear();
     // The store has answered, so tasks that wait for the end of an outage may continue.
     state.store_outage.end();
-    state.quarantine.kept.notify_one();
+    state.quarantine.store_wakeup.notify_one();
     state.peers.nudge();
 }
 
--- a/crates/gateway/src/store/follow_weights.rs
+++ b/crates/gateway/src/store/follow_weights.rs
@@ -64,7 +64,7 @@
         state
             .suspected_weights
             .borrow()
-            .may_hide_a_naming(weights, newest, position, named_after);
+            .may_hide_naming(weights, newest, position, named_after);
     note_stored_weights(state, weights, position);
     if may_hide {
         let known = weights.version.max(newest.unwrap_or(0));
@@ -206,7 +206,7 @@
     state
         .suspected_weights
         .borrow_mut()
-        .note_heard(weights, Instant::now(), era);
+        .note_known(weights, Instant::now(), era);
     log_event!(
         gateway::WEIGHTS_WANTED,
         "model={} version={} age={age:?} assumed={}",
--- a/crates/gateway/src/store/quarantine.rs
+++ b/crates/gateway/src/store/quarantine.rs
@@ -19,10 +19,11 @@
     Freshness, ObjectContent, ObjectKind, Platform, QuarantineRecord, StoredObject,
     UnreadableReason, WriteAnswer,
 };
-use crate::quarantine::kept::{Kept, compare};
 use crate::quarantine::ledger::Ledger;
+use crate::quarantine::stored_state::{StoredState, compare};
 use crate::quarantine::{
-    Fingerprint, Record, Removal, Stored, Strike, TURN, Teller, is_first_home, is_turn, place, role,
+    Fingerprint, Record, RecordSource, Removal, Stored, Strike, WRITE_TURN, home_rank,
+    is_first_home, is_write_turn, role,
 };
 use crate::state::GatewayState;
 use crate::upstream::{self, Pool};
@@ -130,7 +131,7 @@
     let mut pause = IDLE_INTERVAL;
     loop {
         // Ends early when there is something to store.
-        let _ = tokio::time::timeout(pause, state.quarantine.kept.notified()).await;
+        let _ = tokio::time::timeout(pause, state.quarantine.store_wakeup.notified()).await;
         forget_old(&state);
         if removal_backoff.has_elapsed(state.quarantine.now()) {
             let is_done = remove_all(&state).await;
@@ -146,7 +147,7 @@
         let count = i64::try_from(count).unwrap_or(i64::MAX);
         state.status.metrics.fingerprints_quarantined.set(count);
         let has_more = !unstored.is_empty() || removal_backoff.failures > 0;
-        pause = if has_more { TURN } else { IDLE_INTERVAL };
+        pause = if has_more { WRITE_TURN } else { IDLE_INTERVAL };
     }
 }
 
@@ -168,8 +169,8 @@
     let now = state.quarantine.now();
     let era = state.store_eras.known();
     let wanted = state.quarantine.read(|ledger| {
-        let wanted = ledger.known_to_all();
-        let wanted = wanted.filter(|(_, record)| record.is_to_be_stored(era));
+        let wanted = ledger.shared_records();
+        let wanted = wanted.filter(|(_, record)| record.needs_storing(era));
         wanted
             .map(|(fingerprint, _)| fingerprint)
             .collect::<Vec<_>>()
@@ -182,11 +183,12 @@
         });
     }
     let directory = state.peers.directory();
-    let own_place = |fingerprint: Fingerprint| place(&directory, fingerprint, state.peers.own());
+    let own_place =
+        |fingerprint: Fingerprint| home_rank(&directory, fingerprint, state.peers.own());
     let unstored = unstored.iter();
     let due = unstored.filter(|(fingerprint, unstored)| {
         let lacking_for = now.saturating_sub(unstored.since);
-        unstored.backoff.has_elapsed(now) && is_turn(own_place(**fingerprint), lacking_for)
+        unstored.backoff.has_elapsed(now) && is_write_turn(own_place(**fingerprint), lacking_for)
     });
     due.map(|(fingerprint, _)| *fingerprint).collect()
 }
@@ -247,20 +249,20 @@
         return false;
     };
     match compare(kept, wanted) {
-        Kept::Whole => {
+        StoredState::Current => {
             let stored = Stored {
                 position: Some(found.position),
                 is_quarantined: kept.is_quarantined,
-                apart_trials: kept.apart_trials,
+                isolated_trials: kept.apart_trials,
             };
             state.quarantine.note_stored(fingerprint, stored);
             true
         }
-        Kept::Later => {
+        StoredState::Newer => {
             apply_record(state, &found.name, found.position, kept.clone());
             true
         }
-        Kept::Part => false,
+        StoredState::Outdated => false,
     }
 }
 
@@ -272,8 +274,8 @@
         replicas: counted.map(|strike| strike.replica).collect(),
         is_quarantined: record.is_quarantined,
         trials: record.trials,
-        good_ends: record.good_ends,
-        apart_trials: record.apart_trials,
+        good_ends: record.completions,
+        apart_trials: record.isolated_trials,
     }
 }
 
@@ -292,7 +294,7 @@
                 gateway::QUARANTINE_NOT_KEPT,
                 "fingerprint={fingerprint} removal at {position}"
             );
-            state.quarantine.put_back(removal);
+            state.quarantine.retry_removal(removal);
         }
     }
     has_removed_all
@@ -348,16 +350,16 @@
         stored: Stored {
             position: Some(position),
             is_quarantined: content.is_quarantined,
-            apart_trials: content.apart_trials,
+            isolated_trials: content.apart_trials,
         },
-        good_ends: content.good_ends,
-        apart_trials: content.apart_trials,
+        completions: content.good_ends,
+        isolated_trials: content.apart_trials,
         ..Record::default()
     };
     let role = role(&state.peers.directory(), fingerprint, state.peers.own());
     let has_news = state
         .quarantine
-        .take_record(fingerprint, record, role, Teller::Store);
+        .merge_record(fingerprint, record, role, RecordSource::Store);
     if has_news {
         state.peers.nudge();
     }
@@ -376,7 +378,7 @@
         .iter()
         .filter_map(|object| fingerprint_of(state, &object.name));
     let listed: Vec<Fingerprint> = listed.collect();
-    state.quarantine.take_list(&listed, position);
+    state.quarantine.release_missing(&listed, position);
 }
 
 /// The fingerprint in an object's name; `None` if the name is not a fingerprint, as for objects of other writers.
--- a/crates/gateway/src/suspected_weights.rs
+++ b/crates/gateway/src/suspected_weights.rs
@@ -22,18 +22,18 @@
 
 /// How long entries show a version before it is suspected: within 1.4 s a daemon that reads the store knows of a naming
 /// itself, see [`crate::store::KnownNamings`].
-const SHOWN_FOR: Duration = Duration::from_millis(1500);
+const SUSPICION_DELAY: Duration = Duration::from_millis(1500);
 
 /// How long a version is not tried after a replica has refused it; each further time twice as long. A writer of
 /// another part of the object that goes on, or an entry that is wrong, costs an order a minute.
-const PAUSE_AFTER_REFUSAL: Duration = Duration::from_secs(2);
+const REFUSAL_BACKOFF: Duration = Duration::from_secs(2);
 
 /// The longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(60);
+const MAX_REFUSAL_BACKOFF: Duration = Duration::from_secs(60);
 
 /// Refusals after which a version is suspected no more, until something new speaks for it. One refusal does not settle it: a
 /// replica may hear of a naming after the store has taken it, as may the operator; these three cover 6 s.
-const REFUSALS_THAT_SETTLE: u32 = 3;
+const MAX_REFUSALS: u32 = 3;
 
 /// Versions of a model of which it is remembered that they were refused. Only broken entries name that many.
 const MAX_REFUSED_VERSIONS: usize = 8;
@@ -49,33 +49,33 @@
 
 /// What is known of one model.
 #[derive(Debug, Default)]
-struct OfModel {
-    stored: Option<Stored>,
-    heard: Option<Heard>,
-    shown: Option<Shown>,
+struct ModelState {
+    stored: Option<ObservedObject>,
+    known_version: Option<KnownVersion>,
+    shown: Option<ShownVersion>,
     suspicion: Option<Suspicion>,
     /// Each version has its own pause, so that an entry which is wrong for long does not keep one from being tried that
     /// was written over.
-    refused: BTreeMap<u64, Refused>,
+    refused: BTreeMap<u64, Refusals>,
 }
 
 /// What is remembered of a version that was refused.
 #[derive(Debug, Clone, Copy)]
-struct Refused {
-    in_row: u32,
-    paused_until: Instant,
+struct Refusals {
+    count: u32,
+    retry_at: Instant,
 }
 
 /// The object as it was last read from the store.
 #[derive(Debug, Clone, Copy)]
-struct Stored {
+struct ObservedObject {
     version: u64,
     position: StorePosition,
 }
 
 /// When this daemon heard of the newest version that it knows.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct KnownVersion {
     version: u64,
     at: Instant,
     era: StoreEra,
@@ -83,7 +83,7 @@
 
 /// A version above all that are known, which entries of replicas show.
 #[derive(Debug, Clone, Copy)]
-struct Shown {
+struct ShownVersion {
     version: u64,
     since: Instant,
 }
@@ -91,15 +91,15 @@
 /// Versions that may have been named although nobody heard of it.
 #[derive(Debug, Default)]
 pub struct SuspectedWeights {
-    by_model: HashMap<String, OfModel>,
+    by_model: HashMap<String, ModelState>,
 }
 
 impl SuspectedWeights {
     /// Takes in that a version, the newest that is known now, was heard of at `at`, in this era of the store.
-    pub fn note_heard(&mut self, weights: &ModelVersion, at: Instant, era: StoreEra) {
+    pub fn note_known(&mut self, weights: &ModelVersion, at: Instant, era: StoreEra) {
         let version = weights.version;
         let known = self.by_model.entry(weights.model.clone()).or_default();
-        known.heard = Some(Heard { version, at, era });
+        known.known_version = Some(KnownVersion { version, at, era });
         let is_settled = |suspicion: &Suspicion| suspicion.weights.version <= version;
         known.suspicion.take_if(|suspicion| is_settled(suspicion));
         known.refused.clear();
@@ -116,8 +116,8 @@
     ) -> bool {
         let version = weights.version;
         let known = self.by_model.entry(weights.model.clone()).or_default();
-        let stored = Stored { version, position };
-        let is_older = |known: &Stored| position.is_before_in_era(known.position);
+        let stored = ObservedObject { version, position };
+        let is_older = |known: &ObservedObject| position.is_before_in_era(known.position);
         if known.stored.as_ref().is_some_and(is_older) {
             return false;
         }
@@ -127,13 +127,13 @@
         if let Some(before) = same {
             return before.position < position;
         }
-        known.was_heard_by(version, position.era, not_before)
+        known.was_known_by(version, position.era, not_before)
     }
 
     /// Whether a list that shows the object of a model so may hide a later naming. It shows the last write only, so one that was
     /// made while nobody watched may have been made over another one: `newest` is what was known before the list, and the
     /// other arguments are those of [`Self::note_stored`], which is told after this.
-    pub fn may_hide_a_naming(
+    pub fn may_hide_naming(
         &self,
         listed: &ModelVersion,
         newest: Option<u64>,
@@ -152,7 +152,7 @@
         match stored {
             Some(stored) if stored.position >= position => false,
             Some(stored) if stored.version == newest => true,
-            _ => known.was_heard_by(newest, position.era, not_before),
+            _ => known.was_known_by(newest, position.era, not_before),
         }
     }
 
@@ -164,18 +164,18 @@
                 known.shown = None;
             }
         }
-        let mut long = Vec::new();
+        let mut shown_long_enough = Vec::new();
         for (model, version) in shown {
             let known = self.by_model.entry(model.clone()).or_default();
             let same = known.shown.filter(|known| known.version == *version);
             let (version, since) = (*version, same.map_or(now, |same| same.since));
-            known.shown = Some(Shown { version, since });
-            if now.saturating_duration_since(since) >= SHOWN_FOR {
+            known.shown = Some(ShownVersion { version, since });
+            if now.saturating_duration_since(since) >= SUSPICION_DELAY {
                 let model = model.clone();
-                long.push(ModelVersion { model, version });
+                shown_long_enough.push(ModelVersion { model, version });
             }
         }
-        long
+        shown_long_enough
     }
 
     /// Takes in a version that may have been named; true where it was not suspected before. Of several the lowest is tried first.
@@ -184,14 +184,14 @@
             .by_model
             .entry(suspicion.weights.model.clone())
             .or_default();
-        let is_news = known
+        let is_new = known
             .suspicion
             .as_ref()
             .is_none_or(|known| suspicion.weights.version < known.weights.version);
-        if is_news {
+        if is_new {
             known.suspicion = Some(suspicion);
         }
-        is_news
+        is_new
     }
 
     /// Takes in that a replica refused a version, as one that was not named.
@@ -203,7 +203,7 @@
         if !known.suspicion.as_mut().is_some_and(is_refused) {
             return;
         }
-        if known.note_refusal(weights.version, now) >= REFUSALS_THAT_SETTLE {
+        if known.note_refusal(weights.version, now) >= MAX_REFUSALS {
             known.suspicion = None;
         }
     }
@@ -224,41 +224,41 @@
     /// The versions that may be tried at `now`.
     pub fn due(&self, now: Instant) -> Vec<Suspicion> {
         let suspicions = self.by_model.values();
-        let due = suspicions.filter_map(|known| known.suspicion_due(now));
+        let due = suspicions.filter_map(|known| known.due_suspicion(now));
         due.cloned().collect()
     }
 }
 
-impl OfModel {
+impl ModelState {
     /// Whether this version was heard of by `moment`, in this era of the store.
-    fn was_heard_by(&self, version: u64, era: StoreEra, moment: Option<Instant>) -> bool {
-        let heard = self
-            .heard
-            .filter(|heard| heard.version == version && heard.era == era);
-        heard
+    fn was_known_by(&self, version: u64, era: StoreEra, moment: Option<Instant>) -> bool {
+        let known_version = self
+            .known_version
+            .filter(|known_version| known_version.version == version && known_version.era == era);
+        known_version
             .zip(moment)
-            .is_some_and(|(heard, moment)| heard.at <= moment)
+            .is_some_and(|(known_version, moment)| known_version.at <= moment)
     }
 
     /// Takes in that a version was refused; how often it was.
     fn note_refusal(&mut self, version: u64, now: Instant) -> u32 {
-        let in_row = self.refused.get(&version).map_or(0, |known| known.in_row);
-        let pause = PAUSE_AFTER_REFUSAL.saturating_mul(1 << in_row.min(8));
-        let refused = Refused {
-            in_row: in_row + 1,
-            paused_until: now + pause.min(LONGEST_PAUSE),
+        let count = self.refused.get(&version).map_or(0, |known| known.count);
+        let pause = REFUSAL_BACKOFF.saturating_mul(1 << count.min(8));
+        let refused = Refusals {
+            count: count + 1,
+            retry_at: now + pause.min(MAX_REFUSAL_BACKOFF),
         };
         self.refused.insert(version, refused);
         if self.refused.len() > MAX_REFUSED_VERSIONS {
             self.refused.pop_last();
         }
-        refused.in_row
+        refused.count
     }
 
-    fn suspicion_due(&self, now: Instant) -> Option<&Suspicion> {
+    fn due_suspicion(&self, now: Instant) -> Option<&Suspicion> {
         let suspicion = self.suspicion.as_ref()?;
         let refused = self.refused.get(&suspicion.weights.version);
-        let is_paused = refused.is_some_and(|refused| refused.paused_until > now);
+        let is_paused = refused.is_some_and(|refused| refused.retry_at > now);
         (!is_paused).then_some(suspicion)
     }
 }
