--- a/crates/gateway/src/store/own_entry.rs
+++ b/crates/gateway/src/store/own_entry.rs
@@ -60,7 +60,7 @@
         if !may_be_missing(written_ago) {
             continue;
         }
-        let daemons = state.peers.directory().count;
+        let gateways = state.peers.directory().count;
         tokio::time::sleep(write_delay(&state.settings.name, gateways)).await;
         while !write_own_entry(&state, None).await {
             tokio::time::sleep(RETRY_DELAY).await;
