--- a/crates/gateway/src/cache/follow.rs
+++ b/crates/gateway/src/cache/follow.rs
@@ -24,7 +24,7 @@
 const GATHERING: Duration = Duration::from_millis(150);
 
 /// The pause after a call that failed.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(500);
+const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// How often it is looked for new stores.
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
@@ -63,7 +63,7 @@
         let is_done = follow_once(state, &pool, store).await;
         let pause = match is_done {
             true => GATHERING,
-            false => PAUSE_AFTER_FAILURE,
+            false => RECEIVE_RETRY_PAUSE,
         };
         tokio::time::sleep(pause).await;
     }
@@ -94,7 +94,7 @@
     let is_known = news.is_known;
     if is_known || is_informed {
         state.cached.take(&news);
-        state.peers.tell_cached(news);
+        state.peers.announce_cached(news);
     }
     is_known
 }
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -12,8 +12,8 @@
 use super::convert::to_ms;
 use super::directory::short_digest;
 use super::message::{
-    Ask, Change, Loading, Message, RECEIVE_BYTES, Report, Tell, TellCached, TellConfiguration,
-    WireLease, WirePrompt, WireWeights,
+    CachedReply, Change, ConfigurationReply, LoadStatus, Message, RECEIVE_BUFFER_BYTES, Report,
+    SyncQuery, SyncReply, WireLease, WirePrompt, WireWeights,
 };
 use super::notices;
 use super::packed::PackedReplicas;
@@ -30,94 +30,96 @@
 use crate::weights::Since;
 
 /// The pause after a datagram could not be received.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(25);
+const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(25);
 
 /// Where answers to own questions go.
-pub(super) struct AnswerQueues {
+pub(super) struct ReplyQueues {
     /// What is in force and has changed.
-    pub(super) tells: UnboundedSender<Tell>,
+    pub(super) sync_replies: UnboundedSender<SyncReply>,
     /// What stores of cached prompt work keep.
-    pub(super) cached_pages: UnboundedSender<TellCached>,
+    pub(super) cached_replies: UnboundedSender<CachedReply>,
     /// Configurations that others hold.
-    pub(super) configuration_pieces: Sender<TellConfiguration>,
+    pub(super) configuration_replies: Sender<ConfigurationReply>,
 }
 
 /// Reads datagrams for ever.
 pub(super) async fn listen(
     state: Rc<GatewayState>,
     socket: Rc<tokio::net::UdpSocket>,
-    answers: AnswerQueues,
+    queues: ReplyQueues,
 ) {
-    let mut buffer = [0_u8; RECEIVE_BYTES];
+    let mut buffer = [0_u8; RECEIVE_BUFFER_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
+            tokio::time::sleep(RECEIVE_RETRY_PAUSE).await;
             continue;
         };
         match Message::decode(&buffer[..length]) {
-            Some(Message::Ask(question)) => {
-                adopt_peer_era(&state, question.store_era, &from.to_string());
-                state.currency.note_version(question.configuration);
-                state.peers.note_configuration(question.configuration, from);
+            Some(Message::SyncQuery(query)) => {
+                adopt_peer_era(&state, query.store_era, &from.to_string());
+                state.currency.note_version(query.configuration_version);
+                state
+                    .peers
+                    .note_configuration(query.configuration_version, from);
                 state
                     .peers
                     .followers
                     .borrow_mut()
                     .insert(from, Instant::now());
-                let answer = Message::Tell(Box::new(tell(&state, &question)));
+                let answer = Message::SyncReply(Box::new(reply_to(&state, &query)));
                 send_to(&socket, &answer, from).await;
-                records::reconcile(&state, &socket, question.quarantine, from).await;
+                records::reconcile(&state, &socket, query.quarantine_digest, from).await;
                 notices::remind(&state, &socket, from).await;
             }
-            Some(Message::Tell(answer)) => {
+            Some(Message::SyncReply(answer)) => {
                 // The task that asked may have given up meanwhile.
-                let _ = answers.tells.send(*answer);
+                let _ = queues.sync_replies.send(*answer);
             }
-            Some(Message::Nudge) => state.peers.ask_now.notify_one(),
+            Some(Message::ChangesAvailable) => state.peers.ask_now.notify_one(),
             Some(Message::StoreRecovered) => {
                 state.store_outage.end();
                 spread(&state, &socket, Report::StoreRecovered).await;
             }
             Some(Message::Prompts(prompts)) => {
-                take_prompts(&state, &prompts);
+                apply_prompts(&state, &prompts);
                 for prompt in &prompts {
-                    state.peers.far.gather(prompt);
+                    state.peers.prompt_relay.gather(prompt);
                 }
             }
-            Some(Message::GatherPrompts(prompts)) => {
-                take_prompts(&state, &prompts);
+            Some(Message::PromptsForLeader(prompts)) => {
+                apply_prompts(&state, &prompts);
                 for prompt in &prompts {
-                    state.peers.far.gather(prompt);
+                    state.peers.prompt_relay.gather(prompt);
                 }
-                state.peers.far.pass_on(&prompts);
+                state.peers.prompt_relay.pass_on(&prompts);
             }
-            Some(Message::FarPrompts(far)) => {
+            Some(Message::OtherGroupPrompts(batch)) => {
                 state
                     .peers
                     .relays
-                    .note(&far.zone, from.to_string(), Instant::now());
-                take_prompts(&state, &far.prompts);
-                state.peers.far.pass_on(&far.prompts);
+                    .note(&batch.zone, from.to_string(), Instant::now());
+                apply_prompts(&state, &batch.prompts);
+                state.peers.prompt_relay.pass_on(&batch.prompts);
             }
             Some(Message::Spread(report)) => {
-                spread::take(&state, &socket, report, &buffer[..length]).await;
+                spread::relay(&state, &socket, report, &buffer[..length]).await;
             }
-            Some(Message::AskCached(question)) => {
-                if let Some(page) = cached::answer(&state, &question) {
-                    send_to(&socket, &Message::TellCached(page), from).await;
+            Some(Message::CachedQuery(query)) => {
+                if let Some(page) = cached::answer(&state, &query) {
+                    send_to(&socket, &Message::CachedReply(page), from).await;
                 }
             }
-            Some(Message::TellCached(page)) => {
+            Some(Message::CachedReply(page)) => {
                 // The same holds for the task that asked for the page.
-                let _ = answers.cached_pages.send(page);
+                let _ = queues.cached_replies.send(page);
             }
-            Some(Message::AskConfiguration(question)) => {
-                configuration::answer(&state, &socket, &question, from).await;
+            Some(Message::ConfigurationQuery(query)) => {
+                configuration::answer(&state, &socket, &query, from).await;
             }
-            Some(Message::TellConfiguration(told)) => {
+            Some(Message::ConfigurationReply(told)) => {
                 state.peers.note_configuration(told.version, from);
                 // Nobody waits for it, or more come than were asked for.
-                if answers.configuration_pieces.try_send(told).is_err() {
+                if queues.configuration_replies.try_send(told).is_err() {
                     log::debug!("a piece of a configuration from {from} is dropped");
                 }
             }
@@ -130,27 +132,27 @@
                 state.quotas.record_group_usage(&usage, Instant::now());
                 state.quotas.queue_group_report(usage);
             }
-            Some(Message::Strikes(strikes)) => records::take_strikes(&state, &strikes),
-            Some(Message::Cleared(cleared)) => records::take_cleared(&state, &cleared),
+            Some(Message::Strikes(strikes)) => records::apply_strikes(&state, &strikes),
+            Some(Message::Cleared(cleared)) => records::apply_cleared(&state, &cleared),
             Some(Message::Records(told)) => {
-                let has_news = records::take_records(&state, &told.records);
+                let has_news = records::apply_records(&state, &told.records);
                 if has_news && told.is_for_group {
                     spread(&state, &socket, Report::Records(told.records)).await;
                 }
             }
-            Some(Message::Loading(loading)) => {
-                take_loading(&state, &loading);
-                spread(&state, &socket, Report::Loading(loading)).await;
+            Some(Message::LoadStatus(status)) => {
+                apply_load_status(&state, &status);
+                spread(&state, &socket, Report::LoadStatus(status)).await;
             }
             Some(Message::Notices(told)) => {
-                notices::take(&state, &told);
+                notices::apply(&state, &told);
                 spread(&state, &socket, Report::Notices(told)).await;
             }
-            Some(Message::Reminder(told)) => notices::take(&state, &told),
-            Some(Message::AskPermit(question)) => {
-                permits::answer(&state, &socket, &question, from).await;
+            Some(Message::Reminder(told)) => notices::apply(&state, &told),
+            Some(Message::PermitQuery(query)) => {
+                permits::answer(&state, &socket, &query, from).await;
             }
-            Some(Message::TellPermit(told)) => permits::take(&state, told),
+            Some(Message::PermitReply(told)) => permits::apply(&state, told),
             None => {
                 let (name, reason) = (from.to_string(), UnreadableReason::Bytes);
                 state.reject(
@@ -165,9 +167,9 @@
 }
 
 /// The answer to a question.
-fn tell(state: &GatewayState, question: &Ask) -> Tell {
+fn reply_to(state: &GatewayState, query: &SyncQuery) -> SyncReply {
     let log = state.peers.log.borrow();
-    let (page, packed) = page(state, &log, question);
+    let (page, packed) = page(state, &log, query);
     let proof = state.currency.proof();
     // Rounded up: a proof, or newly named weights, may look older than they are, never newer.
     let to_ms_up = |time: Duration| to_ms(time) + 1;
@@ -182,12 +184,12 @@
     let era = state.store_eras.known();
     // Of an era that another daemon told, no position is known yet.
     let position = Some(state.store_position.get()).filter(|known| known.era == era);
-    Tell {
-        nonce: question.nonce,
+    SyncReply {
+        nonce: query.nonce,
         proof_age_ms: proof.map(|proof| to_ms_up(proof.began.elapsed())),
         view_age_ms: state.peers.view_age().map(to_ms_up),
         store_revision: position.map_or(0, |position| position.revision),
-        configuration: state.configuration_version(),
+        configuration_version: state.configuration_version(),
         weights: weights
             .into_iter()
             .map(|(weights, since)| to_wire(weights, since))
@@ -199,24 +201,24 @@
             .map(|(position, record)| WireLease {
                 revision: position.revision,
                 holder: record.holder.clone(),
-                life: record.incarnation,
+                incarnation: record.incarnation,
                 token: record.token,
                 renewal: record.renewal,
                 era: position.era.number(),
-                written_in: record.era.number(),
+                writer_era: record.era.number(),
             }),
-        log: log.id(),
+        log_id: log.id(),
         sequence: page.sequence,
         is_from_start: page.is_from_start,
         has_more: page.has_more,
         changes: page.changes,
-        is_same: page.is_same,
+        has_same_items: page.has_same_items,
         store_down_age_ms: state
             .weights
             .borrow()
             .last_store_down_at()
             .map(|at| to_ms_up(at.elapsed())),
-        quarantine: Some(records::digest(state)),
+        quarantine_digest: Some(records::digest(state)),
         store_era: era.number(),
         proof_revision: proof
             .and_then(|proof| proof.position)
@@ -224,11 +226,11 @@
             .map(|position| position.revision),
         highest_token: state.lease.borrow().highest_token(),
         packed,
-        suspected: suspected
+        suspected_weights: suspected
             .all()
             .map(|suspicion| to_wire(suspicion.weights.clone(), suspicion.since))
             .collect(),
-        view_reader: state.peers.view_reader(),
+        view_reader_log: state.peers.view_reader_log(),
     }
 }
 
@@ -236,14 +238,14 @@
 fn page(
     state: &GatewayState,
     log: &ChangeLog,
-    question: &Ask,
+    query: &SyncQuery,
 ) -> (LogPage, Option<Box<PackedReplicas>>) {
-    if !question.takes_packed {
-        return (log.page(question, fits()), None);
+    if !query.accepts_packed {
+        return (log.page(query, fits()), None);
     }
-    match state.peers.pages.borrow_mut().page(log, question) {
+    match state.peers.packed_pages.borrow_mut().page(log, query) {
         Some(known) => (known.page.clone(), Some(Box::new(known.packed.clone()))),
-        None => (log.no_changes(), None),
+        None => (log.empty_page(), None),
     }
 }
 
@@ -259,11 +261,11 @@
 }
 
 /// Takes in which prompts other daemons sent to replicas. A daemon knows those that it sent itself.
-pub(super) fn take_prompts(state: &GatewayState, prompts: &[WirePrompt]) {
+pub(super) fn apply_prompts(state: &GatewayState, prompts: &[WirePrompt]) {
     let now = Instant::now();
     let own = short_digest(&state.peers.own().name);
     for prompt in prompts.iter().filter(|prompt| prompt.sender != own) {
-        if let Some(replica) = state.registry.current(&prompt.life()) {
+        if let Some(replica) = state.registry.current(&prompt.incarnation()) {
             replica.note_prompt(prompt.tokens, now);
             let ready_at = now + replica.reading(now);
             let prefixes = prompt.prefixes.iter().map(|key| PrefixKey(*key));
@@ -274,19 +276,19 @@
 
 /// Takes in how a replica's loading of weights goes. Suspected weights that a replica has loaded were named: who gave the order tells
 /// it to those that ask it, which the one that reads the store does not.
-pub(super) fn take_loading(state: &GatewayState, loading: &Loading) {
-    if loading.is_done {
-        name_if_suspected(state, &loading.weights());
+pub(super) fn apply_load_status(state: &GatewayState, status: &LoadStatus) {
+    if status.is_done {
+        name_if_suspected(state, &status.weights());
     }
-    if loading.is_refused {
+    if status.is_refused {
         let mut suspected = state.suspected_weights.borrow_mut();
-        suspected.note_refused(&loading.weights(), Instant::now());
+        suspected.note_refused(&status.weights(), Instant::now());
     }
-    if let Some(replica) = state.registry.current(&loading.life()) {
-        let has_ended = loading.is_done || loading.has_failed;
+    if let Some(replica) = state.registry.current(&status.incarnation()) {
+        let has_ended = status.is_done || status.has_failed;
         replica.set_loading((!has_ended).then(Instant::now));
-        if loading.is_done {
-            replica.note_version(&loading.model, loading.version);
+        if status.is_done {
+            replica.note_version(&status.model, status.version);
         }
     }
 }
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -8,7 +8,7 @@
 use driftspring_telemetry::log_event;
 
 use super::directory::name_digest;
-use super::message::{Ask, Message, Tell, WireDaemon, WireWeights};
+use super::message::{Message, SyncQuery, SyncReply, WireDaemon, WireWeights};
 use super::records;
 use super::send::send;
 use super::source::{Source, SourceChooser};
@@ -28,19 +28,19 @@
 
 /// The same for a daemon that has just started and knows nothing yet: the others, which may have started with it, need some
 /// 100 ms to list the replicas, and nothing is served before. At 100 members of a group 1,000 questions of 60 bytes a second.
-const FIRST_ASK_INTERVAL: Duration = Duration::from_millis(100);
+const STARTING_ASK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long an answer is waited for.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The age of the proof of the configuration from which on a daemon asks for one that finds nobody to tell it. A newer
 /// version must be in force 2 s after its acknowledgement on small sites and 3 s or more on those with several groups.
-const LONGEST_UNPROVED: Duration = Duration::from_millis(2000);
+const MAX_PROOF_AGE: Duration = Duration::from_millis(2000);
 
 /// The shortest time between two questions.
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(25);
+const MIN_ASK_INTERVAL: Duration = Duration::from_millis(25);
 
-type Answers = tokio::sync::mpsc::UnboundedReceiver<Tell>;
+type Answers = tokio::sync::mpsc::UnboundedReceiver<SyncReply>;
 
 /// Asks the source again and again.
 pub(super) async fn ask(
@@ -74,7 +74,7 @@
         // No daemon's name has the digest 0: nobody leads.
         state.quotas.set_leader(leader.unwrap_or(0));
         let is_relay = state.peers.is_leader.get() && !others.is_empty();
-        state.peers.far.set_relay(is_relay);
+        state.peers.prompt_relay.set_relay(is_relay);
         state.peers.source.replace(source.address());
         let has_more = match source {
             Source::Daemon(daemon) => {
@@ -83,8 +83,8 @@
             Source::Store => {
                 let reading = state.now().saturating_sub(state.peers.reader_since.get());
                 let own = &state.peers.own.name;
-                chooser.on_store(state.now(), own, reading, state.peers.view_age());
-                if chooser.is_everybody_stale(state.now(), state.peers.view_age()) {
+                chooser.on_store_view(state.now(), own, reading, state.peers.view_age());
+                if chooser.is_store_down_for_all(state.now(), state.peers.view_age()) {
                     log_event!(
                         gateway::STORE_DOWN_FOR_ALL,
                         "reading={reading:?} view_age={:?}",
@@ -99,25 +99,25 @@
         };
         let pause = match has_more {
             true => Duration::ZERO,
-            false => pause_until_work(&state, chooser.longest_view_age()),
+            false => pause_until_work(&state, chooser.max_view_age()),
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = state.peers.ask_now.notified() => tokio::time::sleep(SHORTEST_INTERVAL).await,
+            () = state.peers.ask_now.notified() => tokio::time::sleep(MIN_ASK_INTERVAL).await,
         }
     }
 }
 
 /// The time until the next question, until the view is too old, or until a replica goes out of use whose entry has not
 /// come back.
-fn pause_until_work(state: &GatewayState, longest_view_age: Duration) -> Duration {
+fn pause_until_work(state: &GatewayState, max_view_age: Duration) -> Duration {
     let next_lapse = state.registry.next_lapse();
     let until_lapse = next_lapse.map(|at| at.saturating_duration_since(Instant::now()));
     let until_too_old = state
         .peers
         .view_age()
-        .and_then(|age| longest_view_age.checked_sub(age))
-        .map(|left| left + SHORTEST_INTERVAL);
+        .and_then(|age| max_view_age.checked_sub(age))
+        .map(|left| left + MIN_ASK_INTERVAL);
     let soonest = until_lapse.into_iter().chain(until_too_old).min();
     let interval = ask_interval(state);
     soonest.map_or(interval, |until| until.min(interval))
@@ -126,7 +126,7 @@
 fn ask_interval(state: &GatewayState) -> Duration {
     let knows_nothing = state.peers.view_age().is_none();
     if knows_nothing && state.now() < STARTUP_WINDOW {
-        return FIRST_ASK_INTERVAL;
+        return STARTING_ASK_INTERVAL;
     }
     match state.peers.is_leader.get() {
         true => LEADER_ASK_INTERVAL,
@@ -147,7 +147,7 @@
             state.store_outage.list_failed_at().map(|at| at.elapsed())
         );
         state.peers.reader_since.set(state.now());
-        state.peers.learnt_elsewhere();
+        state.peers.reset_followed_log();
         state.peers.reader_changed.notify_waiters();
     }
 }
@@ -162,64 +162,71 @@
 ) -> bool {
     let peers = &state.peers;
     let nonce = peers.next_nonce();
-    let (log, sequence, content) = peers.followed.borrow_mut().question(&peers.log.borrow());
-    let question = Message::Ask(Ask {
+    let (log_id, sequence, content_digest) = peers
+        .followed
+        .borrow_mut()
+        .query_fields(&peers.log.borrow());
+    let query = Message::SyncQuery(SyncQuery {
         nonce,
-        log,
+        log_id,
         sequence,
-        content,
-        quarantine: Some(records::digest(state)),
+        content_digest,
+        quarantine_digest: Some(records::digest(state)),
         store_era: state.store_eras.known().number(),
-        configuration: state.configuration_version(),
-        takes_packed: true,
+        configuration_version: state.configuration_version(),
+        accepts_packed: true,
     });
     let sent_at = Instant::now();
-    send(socket, &question, &daemon.peers).await;
-    let answer = tokio::time::timeout(ANSWER_TIMEOUT, matching(answers, nonce)).await;
+    send(socket, &query, &daemon.peers).await;
+    let answer = tokio::time::timeout(ANSWER_TIMEOUT, matching_reply(answers, nonce)).await;
     let Ok(Some(mut answer)) = answer else {
-        chooser.on_silence(state.now());
-        chooser.on_useless(peers.view_age());
+        chooser.on_timeout(state.now());
+        chooser.on_unusable_reply(peers.view_age());
         peers.ask_now.notify_one();
         return false;
     };
     answer.unpack();
     adopt_peer_era(state, answer.store_era, &daemon.name);
     if let Ok(address) = daemon.peers.parse() {
-        peers.note_configuration(answer.configuration, address);
-        records::reconcile(state, socket, answer.quarantine, address).await;
+        peers.note_configuration(answer.configuration_version, address);
+        records::reconcile(state, socket, answer.quarantine_digest, address).await;
     }
     let view_age = answer.view_age_ms.map(Duration::from_millis);
     if let Some(at) = moment_before(sent_at, answer.store_down_age_ms) {
         state.weights.borrow_mut().note_store_down(at);
     }
     let proof_age = answer.proof_age_ms.map(Duration::from_millis);
-    if !chooser.on_answer(state.now(), view_age, proof_age) {
-        chooser.on_useless(peers.view_age());
+    if !chooser.on_reply(state.now(), view_age, proof_age) {
+        chooser.on_unusable_reply(peers.view_age());
         if !chooser.is_last_resort() {
             peers.ask_now.notify_one();
-        } else if !state.currency.is_within(LONGEST_UNPROVED) {
+        } else if !state.currency.is_within(MAX_PROOF_AGE) {
             state.currency.request_proof();
         }
         return false;
     }
     let own_log = peers.log.borrow().id();
-    if answer.view_reader == Some(own_log) {
+    if answer.view_reader_log == Some(own_log) {
         log::debug!("{} learns from this daemon", daemon.name);
         chooser.on_own_view(state.now());
         peers.ask_now.notify_one();
         return false;
     }
-    if peers.followed.borrow().is_behind(&answer, peers.view_age()) {
+    if peers
+        .followed
+        .borrow()
+        .has_older_view(&answer, peers.view_age())
+    {
         log::debug!("{} is behind: its view is {view_age:?} old", daemon.name);
-        chooser.on_behind(state.now());
+        chooser.on_older_view(state.now());
         peers.ask_now.notify_one();
         return false;
     }
     set_source(state, &Source::Daemon(daemon.clone()));
-    take_answer(state, answer, sent_at).await
+    apply_reply(state, answer, sent_at).await
 }
 
-async fn matching(answers: &mut Answers, nonce: u64) -> Option<Tell> {
+async fn matching_reply(answers: &mut Answers, nonce: u64) -> Option<SyncReply> {
     loop {
         let answer = answers.recv().await?;
         if answer.nonce == nonce {
@@ -229,24 +236,24 @@
 }
 
 /// Takes in an answer; true where more is to come.
-async fn take_answer(state: &Rc<GatewayState>, answer: Tell, sent_at: Instant) -> bool {
+async fn apply_reply(state: &Rc<GatewayState>, answer: SyncReply, sent_at: Instant) -> bool {
     let proof = proof_in(&answer, sent_at);
     if let Some((began, position)) = proof.and_then(|proof| Some((proof.began, proof.position?))) {
         let mut progress = state.store_progress.borrow_mut();
         progress.note(began, position);
     }
-    take_weights_and_lease(state, &answer, sent_at);
-    take_changes(state, &answer);
+    apply_weights_and_lease(state, &answer, sent_at);
+    apply_changes(state, &answer);
     let knows_all = state.peers.followed.borrow().knows_all();
     if knows_all {
         state.peers.note_daemons_known();
     }
     if let Some(moment) = moment_before(sent_at, answer.view_age_ms).filter(|_| knows_all) {
-        state.peers.prove_told_view(moment, answer.view_reader);
+        state.peers.prove_told_view(moment, answer.view_reader_log);
     }
     let known = state.configuration_version();
-    if known < answer.configuration {
-        let version = answer.configuration;
+    if known < answer.configuration_version {
+        let version = answer.configuration_version;
         match proof {
             Some(proof) => state
                 .currency
@@ -258,7 +265,7 @@
         }
         return answer.has_more;
     }
-    if known == answer.configuration
+    if known == answer.configuration_version
         && let Some(proof) = proof
     {
         state.currency.prove(known, proof);
@@ -268,7 +275,7 @@
 }
 
 /// The read that proved the configuration in an answer.
-fn proof_in(answer: &Tell, sent_at: Instant) -> Option<Proof> {
+fn proof_in(answer: &SyncReply, sent_at: Instant) -> Option<Proof> {
     let began = moment_before(sent_at, answer.proof_age_ms)?;
     let position = answer.proof_revision.map(|revision| StorePosition {
         era: StoreEra::from_number(answer.store_era),
@@ -278,7 +285,7 @@
 }
 
 /// How far the store has come, as an answer tells.
-fn position_in(answer: &Tell) -> StorePosition {
+fn position_in(answer: &SyncReply) -> StorePosition {
     StorePosition {
         era: StoreEra::from_number(answer.store_era),
         revision: answer.store_revision,
@@ -304,12 +311,12 @@
     (weights, since)
 }
 
-fn take_weights_and_lease(state: &GatewayState, answer: &Tell, sent_at: Instant) {
+fn apply_weights_and_lease(state: &GatewayState, answer: &SyncReply, sent_at: Instant) {
     for told in &answer.weights {
         let (named, since) = weights_in(told, sent_at);
         name_weights(state, &named, since);
     }
-    for told in &answer.suspected {
+    for told in &answer.suspected_weights {
         let (weights, since) = weights_in(told, sent_at);
         suspect_weights(state, Suspicion { weights, since }, "told by a daemon");
     }
@@ -320,10 +327,10 @@
     if let Some(lease) = &answer.lease {
         let record = LeaseRecord {
             holder: lease.holder.clone(),
-            incarnation: lease.life,
+            incarnation: lease.incarnation,
             token: lease.token,
             renewal: lease.renewal,
-            era: StoreEra::from_number(lease.written_in),
+            era: StoreEra::from_number(lease.writer_era),
         };
         let now = state.now();
         let mut known = state.lease.borrow_mut();
@@ -338,10 +345,10 @@
     }
 }
 
-fn take_changes(state: &GatewayState, answer: &Tell) {
+fn apply_changes(state: &GatewayState, answer: &SyncReply) {
     let changes = {
         let own = state.peers.log.borrow();
-        state.peers.followed.borrow_mut().take(answer, &own)
+        state.peers.followed.borrow_mut().apply(answer, &own)
     };
     for change in changes {
         state.apply(change);
--- a/crates/gateway/src/peers/bit_rows.rs
+++ b/crates/gateway/src/peers/bit_rows.rs
@@ -6,7 +6,7 @@
 use musli::{Decode, Encode};
 
 /// The most rows of one set. What is read from a datagram takes bounded room by it: 255 rows as long as itself.
-pub const MOST_ROWS: usize = u8::MAX as usize;
+pub const MAX_ROWS: usize = u8::MAX as usize;
 
 /// Rows of one length.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
@@ -25,9 +25,9 @@
 }
 
 impl BitRows {
-    /// Packs `rows`, all of which are as long as the first; those beyond [`MOST_ROWS`] are left out.
+    /// Packs `rows`, all of which are as long as the first; those beyond [`MAX_ROWS`] are left out.
     pub fn pack(rows: &[Vec<u8>]) -> Self {
-        let rows = &rows[..rows.len().min(MOST_ROWS)];
+        let rows = &rows[..rows.len().min(MAX_ROWS)];
         let Some(first) = rows.first() else {
             return Self::default();
         };
@@ -92,7 +92,7 @@
 fn set_bits(mask: u8) -> impl Iterator<Item = u8> {
     (0..8)
         .rev()
-        .map(|place| 1 << place)
+        .map(|position| 1 << position)
         .filter(move |bit| mask & bit != 0)
 }
 
@@ -119,18 +119,18 @@
 #[derive(Debug)]
 struct BitReader<'a> {
     bytes: &'a [u8],
-    place: usize,
+    position: usize,
 }
 
 impl<'a> BitReader<'a> {
     fn new(bytes: &'a [u8]) -> Self {
-        Self { bytes, place: 0 }
+        Self { bytes, position: 0 }
     }
 
     fn next(&mut self) -> Option<bool> {
-        let byte = self.bytes.get(self.place / 8)?;
-        let bit = 0x80 >> (self.place % 8);
-        self.place += 1;
+        let byte = self.bytes.get(self.position / 8)?;
+        let bit = 0x80 >> (self.position % 8);
+        self.position += 1;
         Some(byte & bit != 0)
     }
 }
--- a/crates/gateway/src/peers/cached.rs
+++ b/crates/gateway/src/peers/cached.rs
@@ -10,7 +10,7 @@
 
 use tokio::sync::mpsc::UnboundedReceiver;
 
-use super::message::{AskCached, Message, Report, TellCached, WireCached};
+use super::message::{CachedQuery, CachedReply, Message, Report, WireCached};
 use super::send::send;
 use super::spread::spread;
 use crate::cache::{CachedNews, KeptChange, stores};
@@ -20,27 +20,27 @@
 pub const MAX_CHANGES: usize = 56;
 
 /// What the fields of one store's news take beside its changes, counted in changes.
-const NEWS_FIELDS: usize = 5;
+const HEADER_CHANGES: usize = 5;
 
 /// How long changes gather before they are told. Copying a prompt to a store takes some hundred milliseconds, so
 /// few requests could use the news sooner.
-const GATHERING: Duration = Duration::from_millis(100);
+const BATCH_DELAY: Duration = Duration::from_millis(100);
 
 /// How long a page is waited for.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The pause between two looks for stores of which nothing is known.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+const INITIAL_PAUSE: Duration = Duration::from_millis(250);
 
 /// The longest such pause: a store that does not answer stays unknown until the leader hears of it again, and then
 /// the leader tells all that it keeps.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+const MAX_PAUSE: Duration = Duration::from_secs(8);
 
 /// Tells the group what this daemon learns of the stores, for ever.
-pub(super) async fn tell(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
+pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
-        state.peers.cached_gathered.notified().await;
-        tokio::time::sleep(GATHERING).await;
+        state.peers.cached_news_added.notified().await;
+        tokio::time::sleep(BATCH_DELAY).await;
         let gathered = std::mem::take(&mut *state.peers.cached_news.borrow_mut());
         for datagram in pack(gathered) {
             spread(&state, &socket, Report::Cached(datagram)).await;
@@ -51,23 +51,23 @@
 /// Shares out news among datagrams, in their order.
 pub fn pack(gathered: Vec<CachedNews>) -> Vec<Vec<WireCached>> {
     let mut datagrams: Vec<Vec<WireCached>> = Vec::new();
-    let mut room = 0;
+    let mut remaining = 0;
     for news in gathered {
         let mut rest = news.changes.as_slice();
         let mut is_first = true;
         while is_first || !rest.is_empty() {
-            if room <= NEWS_FIELDS {
+            if remaining <= HEADER_CHANGES {
                 datagrams.push(Vec::new());
-                room = MAX_CHANGES + NEWS_FIELDS;
+                remaining = MAX_CHANGES + HEADER_CHANGES;
             }
-            let (part, later) = rest.split_at(rest.len().min(room - NEWS_FIELDS));
+            let (part, later) = rest.split_at(rest.len().min(remaining - HEADER_CHANGES));
             let mut wire = WireCached::from(&news);
             wire.is_from_start &= is_first;
             wire.changes = wire_changes(part);
             if let Some(datagram) = datagrams.last_mut() {
                 datagram.push(wire);
             }
-            room = room.saturating_sub(NEWS_FIELDS + part.len());
+            remaining = remaining.saturating_sub(HEADER_CHANGES + part.len());
             rest = later;
             is_first = false;
         }
@@ -76,21 +76,21 @@
 }
 
 /// Takes in what the leader tells.
-pub(super) fn take(state: &GatewayState, told: &[WireCached]) {
+pub(super) fn apply(state: &GatewayState, told: &[WireCached]) {
     for news in told.iter().filter_map(WireCached::to_news) {
         state.cached.take(&news);
     }
 }
 
 /// The page that is asked for.
-pub(super) fn answer(state: &GatewayState, question: &AskCached) -> Option<TellCached> {
-    let store: SocketAddr = question.store.parse().ok()?;
-    let page = state.cached.with(store, |kept| TellCached {
-        nonce: question.nonce,
+pub(super) fn answer(state: &GatewayState, query: &CachedQuery) -> Option<CachedReply> {
+    let store: SocketAddr = query.store.parse().ok()?;
+    let page = state.cached.with(store, |kept| CachedReply {
+        nonce: query.nonce,
         epoch: kept.epoch,
         next: kept.next,
         is_known: kept.is_informed,
-        changes: wire_changes(&kept.page(question.after, MAX_CHANGES)),
+        changes: wire_changes(&kept.page(query.after, MAX_CHANGES)),
     });
     Some(page)
 }
@@ -99,9 +99,9 @@
 pub(super) async fn catch_up(
     state: Rc<GatewayState>,
     socket: Rc<tokio::net::UdpSocket>,
-    mut pages: UnboundedReceiver<TellCached>,
+    mut pages: UnboundedReceiver<CachedReply>,
 ) {
-    let mut pause = FIRST_PAUSE;
+    let mut pause = INITIAL_PAUSE;
     loop {
         tokio::time::sleep(pause).await;
         let is_informed = |store: &SocketAddr| state.cached.is_informed(*store);
@@ -110,10 +110,10 @@
             .filter(|store| !is_informed(store))
             .collect();
         if unknown.is_empty() {
-            pause = FIRST_PAUSE;
+            pause = INITIAL_PAUSE;
             continue;
         }
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_PAUSE);
         for store in unknown {
             fetch(&state, &socket, store, &mut pages).await;
         }
@@ -125,7 +125,7 @@
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
     store: SocketAddr,
-    pages: &mut UnboundedReceiver<TellCached>,
+    pages: &mut UnboundedReceiver<CachedReply>,
 ) {
     let mut after = None;
     loop {
@@ -133,13 +133,13 @@
             return;
         };
         let nonce = state.peers.next_nonce();
-        let question = AskCached {
+        let query = CachedQuery {
             nonce,
             store: store.to_string(),
             after,
         };
-        send(socket, &Message::AskCached(question), &source).await;
-        let page = tokio::time::timeout(PAGE_TIMEOUT, matching(pages, nonce)).await;
+        send(socket, &Message::CachedQuery(query), &source).await;
+        let page = tokio::time::timeout(PAGE_TIMEOUT, matching_reply(pages, nonce)).await;
         let Ok(Some(page)) = page else {
             log::debug!("no page of what {store} keeps came from {source}");
             return;
@@ -164,7 +164,10 @@
     }
 }
 
-async fn matching(pages: &mut UnboundedReceiver<TellCached>, nonce: u64) -> Option<TellCached> {
+async fn matching_reply(
+    pages: &mut UnboundedReceiver<CachedReply>,
+    nonce: u64,
+) -> Option<CachedReply> {
     loop {
         let page = pages.recv().await?;
         if page.nonce == nonce {
--- a/crates/gateway/src/peers/change_log.rs
+++ b/crates/gateway/src/peers/change_log.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::message::{Ask, Change, Item, ItemKey};
+use super::message::{Change, Item, ItemKey, SyncQuery};
 
 /// Tombstones that are kept.
 const MAX_TOMBSTONES: usize = 256;
@@ -19,8 +19,8 @@
     changes: BTreeMap<u64, Change>,
     sequence_by_key: HashMap<ItemKey, u64>,
     tombstones: BTreeMap<u64, ItemKey>,
-    forgotten: u64,
-    content: u64,
+    discarded_up_to: u64,
+    content_digest: u64,
     daemon_changes: u64,
 }
 
@@ -36,7 +36,7 @@
     /// Whether more follow.
     pub has_more: bool,
     /// Whether the asking daemon has every item already, whatever log it followed.
-    pub is_same: bool,
+    pub has_same_items: bool,
 }
 
 impl ChangeLog {
@@ -48,8 +48,8 @@
             changes: BTreeMap::new(),
             sequence_by_key: HashMap::new(),
             tombstones: BTreeMap::new(),
-            forgotten: 0,
-            content: 0,
+            discarded_up_to: 0,
+            content_digest: 0,
             daemon_changes: 0,
         }
     }
@@ -70,8 +70,8 @@
     }
 
     /// A digest of all items, whatever order they came in: two logs with the same one have the same items.
-    pub fn content(&self) -> u64 {
-        self.content
+    pub fn content_digest(&self) -> u64 {
+        self.content_digest
     }
 
     /// The item with this key.
@@ -86,7 +86,7 @@
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.changes.values().filter_map(|change| match change {
             Change::Put(item) => Some(item),
-            Change::Gone(_) => None,
+            Change::Removed(_) => None,
         })
     }
 
@@ -98,8 +98,8 @@
             return false;
         }
         let before = known.map_or(0, Item::digest);
-        self.content = self
-            .content
+        self.content_digest = self
+            .content_digest
             .wrapping_sub(before)
             .wrapping_add(item.digest());
         self.record(key, Change::Put(item));
@@ -111,32 +111,32 @@
         let Some(known) = self.get(key) else {
             return false;
         };
-        self.content = self.content.wrapping_sub(known.digest());
-        self.record(key.clone(), Change::Gone(key.clone()));
+        self.content_digest = self.content_digest.wrapping_sub(known.digest());
+        self.record(key.clone(), Change::Removed(key.clone()));
         self.tombstones.insert(self.sequence, key.clone());
         while self.tombstones.len() > MAX_TOMBSTONES {
-            self.forget_oldest_tombstone();
+            self.discard_oldest_tombstone();
         }
         true
     }
 
     /// The last change that the asking daemon has, 0 where it has none or not all before it; nothing where it has every item,
     /// whatever log it followed.
-    pub fn known_to(&self, question: &Ask) -> Option<u64> {
-        if question.content != 0 && question.content == self.content {
+    pub fn sequence_known_to(&self, query: &SyncQuery) -> Option<u64> {
+        if query.content_digest != 0 && query.content_digest == self.content_digest {
             return None;
         }
-        let knows_enough = question.log == self.id
-            && question.sequence >= self.forgotten
-            && question.sequence <= self.sequence;
-        Some(if knows_enough { question.sequence } else { 0 })
+        let knows_enough = query.log_id == self.id
+            && query.sequence >= self.discarded_up_to
+            && query.sequence <= self.sequence;
+        Some(if knows_enough { query.sequence } else { 0 })
     }
 
     /// The changes of this log that the asking daemon lacks, as many as `fits` allows, see [`Self::page_after`].
-    pub fn page(&self, question: &Ask, fits: impl FnMut(&Change) -> bool) -> LogPage {
-        match self.known_to(question) {
+    pub fn page(&self, query: &SyncQuery, fits: impl FnMut(&Change) -> bool) -> LogPage {
+        match self.sequence_known_to(query) {
             Some(after) => self.page_after(after, fits),
-            None => self.no_changes(),
+            None => self.empty_page(),
         }
     }
 
@@ -148,7 +148,7 @@
             sequence: after,
             is_from_start: after == 0,
             has_more: false,
-            is_same: false,
+            has_same_items: false,
         };
         for (number, change) in self.changes.range(after + 1..) {
             if !fits(change) && !page.changes.is_empty() {
@@ -163,13 +163,13 @@
     }
 
     /// The page for a daemon that has every item.
-    pub fn no_changes(&self) -> LogPage {
+    pub fn empty_page(&self) -> LogPage {
         LogPage {
             changes: Vec::new(),
             sequence: self.sequence,
             is_from_start: false,
             has_more: false,
-            is_same: true,
+            has_same_items: true,
         }
     }
 
@@ -184,11 +184,11 @@
         self.changes.insert(self.sequence, change);
     }
 
-    fn forget_oldest_tombstone(&mut self) {
+    fn discard_oldest_tombstone(&mut self) {
         if let Some((sequence, key)) = self.tombstones.pop_first() {
             self.changes.remove(&sequence);
             self.sequence_by_key.remove(&key);
-            self.forgotten = sequence;
+            self.discarded_up_to = sequence;
         }
     }
 }
--- a/crates/gateway/src/peers/configuration.rs
+++ b/crates/gateway/src/peers/configuration.rs
@@ -12,7 +12,7 @@
 
 use super::configuration_message::{MAX_PIECES, answers};
 use super::configuration_pieces::{ConfigurationPieces, PieceError};
-use super::message::{AskConfiguration, Message, TellConfiguration};
+use super::message::{ConfigurationQuery, ConfigurationReply, Message};
 use super::send::{send_to, send_to_all};
 use crate::configuration::Configuration;
 use crate::protocol::{Unreadable, UnreadableReason};
@@ -20,39 +20,39 @@
 use crate::store::{Rejected, apply_handed_on_configuration};
 
 /// Answers that wait to be taken in: those of two questions.
-pub(super) const MAX_QUEUED: usize = 2 * MAX_PIECES as usize;
+pub(super) const MAX_QUEUED_REPLIES: usize = 2 * MAX_PIECES as usize;
 
 /// Others that are asked at the start which version they hold.
-const MOST_ASKED: usize = 3;
+const MAX_ASKED: usize = 3;
 
 /// How long their answers are waited for: a round trip between zones takes some ten milliseconds, and of daemons that all
 /// start at once none waits longer for the others.
-const FIRST_WORD_TIMEOUT: Duration = Duration::from_millis(100);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How long requests with keys wait at the most for the first word of others once the configuration was read: joining the
 /// other daemons takes two calls to the store.
-const FIRST_WORD_BOUND: Duration = Duration::from_millis(250);
+const MAX_CONFIRMATION_WAIT: Duration = Duration::from_millis(250);
 
 /// How long a newer version that others hold is waited for at the start: a read of the store that fails takes 1.5 s.
-const NEWER_TIMEOUT: Duration = Duration::from_secs(2);
+const NEWER_VERSION_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How often it is looked for.
-const NEWER_POLL: Duration = Duration::from_millis(5);
+const NEWER_VERSION_POLL: Duration = Duration::from_millis(5);
 
 /// How long the next piece is waited for.
 const PIECE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Questions in a row that brought no piece after which the transfer is given up.
-const MAX_SILENT: u32 = 4;
+const MAX_EMPTY_ROUNDS: u32 = 4;
 
 /// How long a whole transfer may take: the longest document at 1 MB a second, 32 kB for each round trip of 30 ms.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(32);
 
 /// The pause after the first transfer that failed; doubled after each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
 /// Why no configuration was taken from another daemon.
 #[derive(Debug, thiserror::Error)]
@@ -62,10 +62,10 @@
     NoHolder,
     /// The other daemon does not answer any more.
     #[error("no piece came")]
-    Silent,
+    NoPiece,
     /// It took too long.
     #[error("it took longer than {TRANSFER_TIMEOUT:?}")]
-    TooLong,
+    TimedOut,
     /// The other daemon holds no newer one than this one.
     #[error("the other one holds version {0}")]
     NotNewer(u64),
@@ -87,7 +87,7 @@
 
 /// What was heard at the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum FirstWord {
+enum Confirmation {
     /// Another daemon that has run for a while told its version, or nobody has run before.
     Confirmed,
     /// No such daemon answered, of so many.
@@ -98,13 +98,13 @@
 pub(super) async fn answer(
     state: &GatewayState,
     socket: &UdpSocket,
-    question: &AskConfiguration,
+    query: &ConfigurationQuery,
     from: SocketAddr,
 ) {
     let configuration = state.configuration.load_full();
     let is_settled = state.now() > STARTUP_WINDOW;
-    for told in answers(question, configuration.as_deref(), is_settled) {
-        send_to(socket, &Message::TellConfiguration(told), from).await;
+    for reply in answers(query, configuration.as_deref(), is_settled) {
+        send_to(socket, &Message::ConfigurationReply(reply), from).await;
     }
 }
 
@@ -113,75 +113,75 @@
 pub(super) async fn exchange(
     state: Rc<GatewayState>,
     socket: Rc<UdpSocket>,
-    mut told: Receiver<TellConfiguration>,
+    mut replies: Receiver<ConfigurationReply>,
 ) {
-    let word = hear_others(&state, &socket, &mut told).await;
-    until_newest_known(&state).await;
-    open(&state);
-    if let FirstWord::Unconfirmed { asked } = word {
+    let confirmation = confirm_version(&state, &socket, &mut replies).await;
+    until_newest_held(&state).await;
+    allow_keyed_requests(&state);
+    if let Confirmation::Unconfirmed { asked } = confirmation {
         ntex::rt::spawn(report_unconfirmed(Rc::clone(&state), asked));
     }
     loop {
         state.currency.version_lost().await;
-        let mut pause = FIRST_PAUSE;
+        let mut pause = INITIAL_RETRY_PAUSE;
         while state.currency.is_outdated(state.configuration_version()) {
-            if let Err(error) = take_over(&state, &socket, &mut told).await {
+            if let Err(error) = transfer_configuration(&state, &socket, &mut replies).await {
                 note_failure(&state, &error);
                 tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
         }
     }
 }
 
 /// Lets requests with keys through after a bounded time, though other daemons have not been heard.
-pub async fn bound_first_word(state: Rc<GatewayState>) {
+pub async fn limit_confirmation_wait(state: Rc<GatewayState>) {
     state.currency.until_proved().await;
-    tokio::time::sleep(FIRST_WORD_BOUND).await;
-    until_newest_known(&state).await;
-    open(&state);
+    tokio::time::sleep(MAX_CONFIRMATION_WAIT).await;
+    until_newest_held(&state).await;
+    allow_keyed_requests(&state);
 }
 
-fn open(state: &GatewayState) {
+fn allow_keyed_requests(state: &GatewayState) {
     state.currency.note_peer_answers();
     state.refresh_readiness();
 }
 
 /// Asks some others which version they hold, and waits for one that has run for a while or for all of them. Where all start
 /// for the first time, nobody can know more than the store.
-async fn hear_others(
+async fn confirm_version(
     state: &GatewayState,
     socket: &UdpSocket,
-    told: &mut Receiver<TellConfiguration>,
-) -> FirstWord {
+    replies: &mut Receiver<ConfigurationReply>,
+) -> Confirmation {
     if state.settings.is_first_start {
-        return FirstWord::Confirmed;
+        return Confirmation::Confirmed;
     }
-    let others = asked_first(state);
+    let others = daemons_to_ask(state);
     let asked = others.len();
     let nonce = state.peers.next_nonce();
-    let question = Message::AskConfiguration(AskConfiguration {
+    let query = Message::ConfigurationQuery(ConfigurationQuery {
         nonce,
         first_piece: 0,
         pieces: 0,
     });
-    send_to_all(socket, &question, others.iter().map(String::as_str)).await;
-    let heard = async {
+    send_to_all(socket, &query, others.iter().map(String::as_str)).await;
+    let settled_reply = async {
         for _ in &others {
-            let Some(answer) = matching(told, nonce).await else {
+            let Some(answer) = matching_reply(replies, nonce).await else {
                 break;
             };
             state.currency.note_version(answer.version);
             if answer.is_settled && answer.version > 0 {
-                return FirstWord::Confirmed;
+                return Confirmation::Confirmed;
             }
         }
-        FirstWord::Unconfirmed { asked }
+        Confirmation::Unconfirmed { asked }
     };
-    let word = tokio::time::timeout(FIRST_WORD_TIMEOUT, heard).await;
-    word.unwrap_or_else(|_| {
+    let confirmation = tokio::time::timeout(CONFIRMATION_TIMEOUT, settled_reply).await;
+    confirmation.unwrap_or_else(|_| {
         log::debug!("not all of {others:?} told which configuration they hold");
-        FirstWord::Unconfirmed { asked }
+        Confirmation::Unconfirmed { asked }
     })
 }
 
@@ -201,7 +201,7 @@
 }
 
 /// The addresses of those who are asked: the first in rank of the own group, and others in turn from start to start.
-fn asked_first(state: &GatewayState) -> Vec<String> {
+fn daemons_to_ask(state: &GatewayState) -> Vec<String> {
     let directory = state.peers.directory();
     let own = &state.peers.own().name;
     let members = state.peers.group(&directory).into_iter();
@@ -210,15 +210,15 @@
         .chain(directory.first_of_other_groups());
     let mut addresses: Vec<String> = others.map(|daemon| daemon.peers).collect();
     if let Some((_, rest)) = addresses.split_first_mut() {
-        let turn = state.draw() % (rest.len() as u64).max(1);
-        rest.rotate_left(turn as usize);
+        let rotation = state.draw() % (rest.len() as u64).max(1);
+        rest.rotate_left(rotation as usize);
     }
-    addresses.truncate(MOST_ASKED);
+    addresses.truncate(MAX_ASKED);
     addresses
 }
 
 /// Waits until this daemon holds the newest version that others told, or a read has shown that the store has lost that.
-async fn until_newest_known(state: &GatewayState) {
+async fn until_newest_held(state: &GatewayState) {
     if state.configuration_version() >= state.currency.highest() {
         return;
     }
@@ -227,25 +227,28 @@
         while state.configuration_version() < state.currency.highest()
             && !state.currency.is_outdated(state.configuration_version())
         {
-            tokio::time::sleep(NEWER_POLL).await;
+            tokio::time::sleep(NEWER_VERSION_POLL).await;
         }
     };
-    if tokio::time::timeout(NEWER_TIMEOUT, known).await.is_err() {
+    if tokio::time::timeout(NEWER_VERSION_TIMEOUT, known)
+        .await
+        .is_err()
+    {
         log::debug!("a newer configuration that others hold was not read at the start");
     }
 }
 
 /// Takes the configuration from the daemon that told the highest version.
-async fn take_over(
+async fn transfer_configuration(
     state: &GatewayState,
     socket: &UdpSocket,
-    told: &mut Receiver<TellConfiguration>,
+    replies: &mut Receiver<ConfigurationReply>,
 ) -> Result<(), TransferError> {
     let holder = state.peers.configuration_holder();
     let holder = holder.ok_or(TransferError::NoHolder)?;
-    let transfer = receive(state, socket, told, holder);
+    let transfer = receive_all(state, socket, replies, holder);
     let pieces = tokio::time::timeout(TRANSFER_TIMEOUT, transfer).await;
-    let pieces = pieces.map_err(|_| TransferError::TooLong)??;
+    let pieces = pieces.map_err(|_| TransferError::TimedOut)??;
     let configuration = read(state, pieces)?;
     apply_handed_on_configuration(state, configuration, &holder.to_string());
     // A read that shows an older version proves what is held now.
@@ -255,34 +258,34 @@
 }
 
 /// Receives all pieces.
-async fn receive(
+async fn receive_all(
     state: &GatewayState,
     socket: &UdpSocket,
-    told: &mut Receiver<TellConfiguration>,
+    replies: &mut Receiver<ConfigurationReply>,
     holder: SocketAddr,
 ) -> Result<ConfigurationPieces, TransferError> {
     let mut pieces: Option<ConfigurationPieces> = None;
-    let mut silent = 0;
+    let mut empty_rounds = 0;
     loop {
         let first_piece = first_missing(pieces.as_ref());
         let nonce = state.peers.next_nonce();
-        let question = AskConfiguration {
+        let query = ConfigurationQuery {
             nonce,
             first_piece,
             pieces: MAX_PIECES,
         };
-        send_to(socket, &Message::AskConfiguration(question), holder).await;
+        send_to(socket, &Message::ConfigurationQuery(query), holder).await;
         let end = first_piece.saturating_add(MAX_PIECES);
-        receive_until(end, nonce, state, told, &mut pieces).await?;
+        receive_until(end, nonce, state, replies, &mut pieces).await?;
         if let Some(whole) = pieces.take_if(|pieces| pieces.is_whole()) {
             return Ok(whole);
         }
-        silent = match first_missing(pieces.as_ref()) > first_piece {
+        empty_rounds = match first_missing(pieces.as_ref()) > first_piece {
             true => 0,
-            false => silent + 1,
+            false => empty_rounds + 1,
         };
-        if silent == MAX_SILENT {
-            return Err(TransferError::Silent);
+        if empty_rounds == MAX_EMPTY_ROUNDS {
+            return Err(TransferError::NoPiece);
         }
     }
 }
@@ -296,11 +299,11 @@
     end: u32,
     nonce: u64,
     state: &GatewayState,
-    told: &mut Receiver<TellConfiguration>,
+    replies: &mut Receiver<ConfigurationReply>,
     pieces: &mut Option<ConfigurationPieces>,
 ) -> Result<(), TransferError> {
     loop {
-        let answer = tokio::time::timeout(PIECE_TIMEOUT, matching(told, nonce)).await;
+        let answer = tokio::time::timeout(PIECE_TIMEOUT, matching_reply(replies, nonce)).await;
         let Ok(Some(answer)) = answer else {
             return Ok(());
         };
@@ -311,7 +314,7 @@
             Some(known) => known,
             None => pieces.insert(ConfigurationPieces::begin(&answer)?),
         };
-        known.take(answer)?;
+        known.add(answer)?;
         if known.is_whole() || known.first_missing() >= end {
             return Ok(());
         }
@@ -334,8 +337,8 @@
 fn note_failure(state: &GatewayState, error: &TransferError) {
     let reason = match error {
         TransferError::NoHolder
-        | TransferError::Silent
-        | TransferError::TooLong
+        | TransferError::NoPiece
+        | TransferError::TimedOut
         | TransferError::NotNewer(_) => {
             return log::debug!("no configuration was taken from another daemon: {error}");
         }
@@ -352,9 +355,12 @@
     );
 }
 
-async fn matching(told: &mut Receiver<TellConfiguration>, nonce: u64) -> Option<TellConfiguration> {
+async fn matching_reply(
+    replies: &mut Receiver<ConfigurationReply>,
+    nonce: u64,
+) -> Option<ConfigurationReply> {
     loop {
-        let answer = told.recv().await?;
+        let answer = replies.recv().await?;
         if answer.nonce == nonce {
             return Some(answer);
         }
--- a/crates/gateway/src/peers/configuration_message.rs
+++ b/crates/gateway/src/peers/configuration_message.rs
@@ -14,7 +14,7 @@
 
 /// Asks which configuration the receiver holds, and for pieces of its document.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct AskConfiguration {
+pub struct ConfigurationQuery {
     /// Returned in the answers.
     pub nonce: u64,
     /// The first piece that is wanted.
@@ -25,7 +25,7 @@
 
 /// Answers that; one for each piece, or one without a piece.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct TellConfiguration {
+pub struct ConfigurationReply {
     /// The nonce of the question.
     pub nonce: u64,
     /// The version that the sender holds; 0 for none.
@@ -58,28 +58,28 @@
 
 /// The answers to a question, by a daemon that holds `configuration`.
 pub fn answers(
-    question: &AskConfiguration,
+    query: &ConfigurationQuery,
     configuration: Option<&Configuration>,
     is_settled: bool,
-) -> Vec<TellConfiguration> {
+) -> Vec<ConfigurationReply> {
     let document = configuration.map_or(&[][..], Configuration::document);
     let version = configuration.map_or(0, |known| known.version);
-    let digest = match question.pieces {
+    let digest = match query.pieces {
         0 => 0,
         _ => document_digest(document),
     };
-    let tell = |piece: Option<ConfigurationPiece>| TellConfiguration {
-        nonce: question.nonce,
+    let tell = |piece: Option<ConfigurationPiece>| ConfigurationReply {
+        nonce: query.nonce,
         version,
         is_settled,
         digest,
         length: u32::try_from(document.len()).unwrap_or(u32::MAX),
         piece,
     };
-    let count = question.pieces.min(MAX_PIECES);
-    let last = question.first_piece.saturating_add(count);
-    let pieces = (question.first_piece..last).map_while(|number| piece_of(document, number));
-    let told: Vec<TellConfiguration> = pieces.map(|piece| tell(Some(piece))).collect();
+    let count = query.pieces.min(MAX_PIECES);
+    let last = query.first_piece.saturating_add(count);
+    let pieces = (query.first_piece..last).map_while(|number| piece_of(document, number));
+    let told: Vec<ConfigurationReply> = pieces.map(|piece| tell(Some(piece))).collect();
     match told.is_empty() {
         true => vec![tell(None)],
         false => told,
--- a/crates/gateway/src/peers/configuration_pieces.rs
+++ b/crates/gateway/src/peers/configuration_pieces.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::configuration_message::{MAX_PIECES, PIECE_BYTES, TellConfiguration, document_digest};
+use super::configuration_message::{ConfigurationReply, MAX_PIECES, PIECE_BYTES, document_digest};
 
 /// The longest document that is taken from another daemon, in bytes: ten times the one of 41,000 tenants (3 MB).
 pub const MAX_DOCUMENT_BYTES: u32 = 32 * 1024 * 1024;
@@ -33,7 +33,7 @@
     /// All pieces before the first one that is missing.
     bytes: Vec<u8>,
     /// Pieces after that one, [`MAX_PIECES`] at the most.
-    early: BTreeMap<u32, Vec<u8>>,
+    out_of_order: BTreeMap<u32, Vec<u8>>,
 }
 
 impl ConfigurationPieces {
@@ -42,7 +42,7 @@
     /// # Errors
     ///
     /// The document is too long, or there is none.
-    pub fn begin(told: &TellConfiguration) -> Result<Self, PieceError> {
+    pub fn begin(told: &ConfigurationReply) -> Result<Self, PieceError> {
         if told.length == 0 || told.length > MAX_DOCUMENT_BYTES {
             return Err(PieceError::Length(told.length));
         }
@@ -51,7 +51,7 @@
             digest: told.digest,
             length: told.length,
             bytes: Vec::new(),
-            early: BTreeMap::new(),
+            out_of_order: BTreeMap::new(),
         })
     }
 
@@ -75,7 +75,7 @@
     /// # Errors
     ///
     /// It does not fit to those before: the whole is to be dropped.
-    pub fn take(&mut self, told: TellConfiguration) -> Result<(), PieceError> {
+    pub fn add(&mut self, told: ConfigurationReply) -> Result<(), PieceError> {
         let is_same =
             (told.version, told.digest, told.length) == (self.version, self.digest, self.length);
         if !is_same {
@@ -89,9 +89,9 @@
         }
         let missing = self.first_missing();
         if (missing..missing.saturating_add(MAX_PIECES)).contains(&piece.number) {
-            self.early.insert(piece.number, piece.bytes);
+            self.out_of_order.insert(piece.number, piece.bytes);
         }
-        while let Some(bytes) = self.early.remove(&self.first_missing()) {
+        while let Some(bytes) = self.out_of_order.remove(&self.first_missing()) {
             self.bytes.extend(bytes);
         }
         Ok(())
--- a/crates/gateway/src/peers/directory.rs
+++ b/crates/gateway/src/peers/directory.rs
@@ -10,7 +10,7 @@
 use super::message::WireDaemon;
 
 /// Daemons that form one group whatever their zones; more are grouped by zone.
-const ONE_GROUP: usize = 16;
+const MAX_SINGLE_GROUP: usize = 16;
 
 /// The daemons known.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -33,7 +33,7 @@
         ranked.push(own.clone());
         ranked.sort_by_cached_key(rank);
         let count = ranked.len();
-        let is_one_group = count <= ONE_GROUP;
+        let is_one_group = count <= MAX_SINGLE_GROUP;
         let group_name = match is_one_group {
             true => String::new(),
             false => own.zone.clone(),
@@ -66,8 +66,8 @@
         let mut highest: Vec<(u64, &WireDaemon)> = Vec::with_capacity(count + 1);
         for daemon in self.all() {
             let weight = weight(daemon);
-            let place = highest.partition_point(|(known, _)| *known >= weight);
-            highest.insert(place, (weight, daemon));
+            let position = highest.partition_point(|(known, _)| *known >= weight);
+            highest.insert(position, (weight, daemon));
             highest.truncate(count);
         }
         highest.into_iter().map(|(_, daemon)| daemon).collect()
--- a/crates/gateway/src/peers/known.rs
+++ b/crates/gateway/src/peers/known.rs
@@ -11,16 +11,16 @@
 
 use super::change_log::ChangeLog;
 use super::directory::{Directory, short_digest};
-use super::far::FarExchange;
 use super::followed_log::FollowedLog;
-use super::message::{Item, Loading, WireDaemon, WirePrompt};
+use super::message::{Item, LoadStatus, WireDaemon, WirePrompt};
 use super::packed_pages::PackedPages;
+use super::prompt_relay::PromptRelay;
 use super::relays::Relays;
 use super::view::View;
 use crate::cache::CachedNews;
 
 /// Tokens from which others are told what a replica was given to read.
-pub(super) const LEAST_REPORTED_TOKENS: u64 = 1200;
+pub(super) const MIN_REPORTED_TOKENS: u64 = 1200;
 
 /// Prompts of one datagram; more are dropped. So many stay below the bound of a datagram, 1,200 bytes, with
 /// ids of usual length.
@@ -28,11 +28,11 @@
 
 /// Seeds that are asked before the store. Each that is silent takes 0.65 s and is then passed over for 2.5 s: all of them have
 /// been asked in vain before the first one has its turn again, and this daemon reads the store.
-const MOST_SEEDS: usize = 3;
+const MAX_SEEDS: usize = 3;
 
 /// How long a daemon that has just started waits for its source to tell it all replicas before it lists them itself: as long
 /// as others wait for a reader that knows nothing yet.
-const FIRST_LIST_PATIENCE: Duration = Duration::from_millis(1300);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1300);
 
 /// How often it looks whether it was told.
 const FIRST_LIST_POLL: Duration = Duration::from_millis(20);
@@ -43,9 +43,9 @@
     /// Replicas and daemons.
     pub log: RefCell<ChangeLog>,
     /// Pages of it that others asked for.
-    pub(super) pages: RefCell<PackedPages>,
+    pub(super) packed_pages: RefCell<PackedPages>,
     /// Wakes the task that tells others of news.
-    pub news: Notify,
+    pub outbox_changed: Notify,
     /// Whether this daemon reads the store itself.
     pub is_reader: Cell<bool>,
     /// Whether this daemon is one of those that may call the store on their own account; a daemon that has just started
@@ -65,12 +65,12 @@
     pub(super) relays: Relays,
     /// The daemons ranked, and the number of changes of daemons at which they were.
     directory: RefCell<Option<(u64, Rc<Directory>)>>,
-    knows_daemons: Cell<bool>,
-    turns: Cell<u32>,
+    has_all_daemons: Cell<bool>,
+    rotation: Cell<u32>,
     /// What this daemon learnt of stores of cached prompt work, to be told to the group.
     pub(super) cached_news: RefCell<Vec<CachedNews>>,
     /// Wakes the task that tells it.
-    pub(super) cached_gathered: Notify,
+    pub(super) cached_news_added: Notify,
     /// Whether this daemon, as the reader, follows the replicas.
     pub follows_replicas: Cell<bool>,
     pub(super) view: View,
@@ -79,30 +79,30 @@
     pub(super) own: WireDaemon,
     pub(super) followers: RefCell<HashMap<SocketAddr, Instant>>,
     /// When those who ask were last told what replicas say of themselves.
-    pub(super) reminded: RefCell<HashMap<SocketAddr, Instant>>,
+    pub(super) reminded_at: RefCell<HashMap<SocketAddr, Instant>>,
     pub(super) followed: RefCell<FollowedLog>,
     pub(super) nonce: Cell<u64>,
     pub(super) ask_now: Notify,
-    pub(super) outbox: RefCell<Vec<Loading>>,
+    pub(super) load_statuses: RefCell<Vec<LoadStatus>>,
     pub(super) prompts: RefCell<Vec<WirePrompt>>,
-    pub(super) far: FarExchange,
-    pub(super) nudges: Cell<bool>,
-    pub(super) store_recovered: Cell<bool>,
+    pub(super) prompt_relay: PromptRelay,
+    pub(super) must_announce_changes: Cell<bool>,
+    pub(super) must_announce_store: Cell<bool>,
     /// Whether a source has been chosen, and with it whether this daemon may read the store.
-    has_chosen: Cell<bool>,
+    has_chosen_source: Cell<bool>,
     /// Wakes the task that waits for that.
-    chosen: Notify,
+    source_chosen: Notify,
     /// The highest version of the configuration that another daemon told, and the last one that told it.
     configuration_holder: Cell<Option<(u64, SocketAddr)>>,
 }
 
 impl Peers {
     /// The peers of the daemon `own`; `life` differs from that of every other life.
-    pub fn new(own: WireDaemon, seeds: Vec<WireDaemon>, life: u64) -> Self {
+    pub fn new(own: WireDaemon, seeds: Vec<WireDaemon>, incarnation: u64) -> Self {
         Self {
-            log: RefCell::new(ChangeLog::new(life)),
-            pages: RefCell::default(),
-            news: Notify::new(),
+            log: RefCell::new(ChangeLog::new(incarnation)),
+            packed_pages: RefCell::default(),
+            outbox_changed: Notify::new(),
             is_reader: Cell::new(false),
             may_read: Cell::new(true),
             is_leader: Cell::new(false),
@@ -111,10 +111,10 @@
             leader: RefCell::new(None),
             relays: Relays::new(Instant::now()),
             directory: RefCell::new(None),
-            knows_daemons: Cell::new(false),
-            turns: Cell::new(0),
+            has_all_daemons: Cell::new(false),
+            rotation: Cell::new(0),
             cached_news: RefCell::new(Vec::new()),
-            cached_gathered: Notify::new(),
+            cached_news_added: Notify::new(),
             follows_replicas: Cell::new(false),
             view: View::default(),
             reader_since: Cell::new(Duration::ZERO),
@@ -122,17 +122,17 @@
             reader_changed: Notify::new(),
             own,
             followers: RefCell::new(HashMap::new()),
-            reminded: RefCell::new(HashMap::new()),
+            reminded_at: RefCell::new(HashMap::new()),
             followed: RefCell::default(),
-            nonce: Cell::new(life << 20),
+            nonce: Cell::new(incarnation << 20),
             ask_now: Notify::new(),
-            outbox: RefCell::new(Vec::new()),
+            load_statuses: RefCell::new(Vec::new()),
             prompts: RefCell::new(Vec::new()),
-            far: FarExchange::default(),
-            nudges: Cell::new(false),
-            store_recovered: Cell::new(false),
-            has_chosen: Cell::new(false),
-            chosen: Notify::new(),
+            prompt_relay: PromptRelay::default(),
+            must_announce_changes: Cell::new(false),
+            must_announce_store: Cell::new(false),
+            has_chosen_source: Cell::new(false),
+            source_chosen: Notify::new(),
             configuration_holder: Cell::new(None),
         }
     }
@@ -176,33 +176,33 @@
 
     /// Those who may be asked: the own group, or the first seeds as long as not all daemons are known.
     pub(super) fn group(&self, directory: &Directory) -> Vec<WireDaemon> {
-        if self.knows_daemons.get() || self.seeds.is_empty() {
+        if self.has_all_daemons.get() || self.seeds.is_empty() {
             return directory.group.clone();
         }
-        let seeds = self.seeds.iter().take(MOST_SEEDS);
+        let seeds = self.seeds.iter().take(MAX_SEEDS);
         seeds.chain([&self.own]).cloned().collect()
     }
 
     /// Takes in that every daemon is known that another daemon or the store lists. Before that, ranks mean nothing:
     /// some of the daemons known may know less than this one.
     pub fn note_daemons_known(&self) {
-        self.knows_daemons.set(true);
+        self.has_all_daemons.set(true);
     }
 
     /// Whether every daemon is known, see [`Peers::note_daemons_known`].
     pub fn are_daemons_known(&self) -> bool {
-        self.knows_daemons.get()
+        self.has_all_daemons.get()
     }
 
     /// The place of this daemon in its group; 0 is the first.
     pub fn rank(&self) -> u32 {
         let directory = self.directory();
-        let place = directory
+        let position = directory
             .group
             .iter()
             .position(|member| member.name == self.own.name);
-        place
-            .and_then(|place| u32::try_from(place).ok())
+        position
+            .and_then(|position| u32::try_from(position).ok())
             .unwrap_or(0)
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// The log of the reader of the store that knew all that is known here.
-    pub(super) fn view_reader(&self) -> Option<u64> {
+    pub(super) fn view_reader_log(&self) -> Option<u64> {
         self.view.reader()
     }
 
@@ -254,17 +254,17 @@
     /// Takes in whether this daemon may read the store for its group, as a source has been chosen.
     pub(super) fn set_may_read(&self, may_read: bool) {
         self.may_read.set(may_read);
-        if !self.has_chosen.replace(true) {
-            self.chosen.notify_waiters();
+        if !self.has_chosen_source.replace(true) {
+            self.source_chosen.notify_waiters();
         }
     }
 
     /// Whether this daemon, which has just started, lists the replicas itself: where it may read the store for its group, or
     /// its source has not told it all of them in time. The lists of hundreds that start together would fill the
     /// store's link, and the readers would wait for theirs behind them.
-    pub async fn wants_first_list(&self) -> bool {
-        while !self.has_chosen.get() {
-            self.chosen.notified().await;
+    pub async fn must_list_at_start(&self) -> bool {
+        while !self.has_chosen_source.get() {
+            self.source_chosen.notified().await;
         }
         if self.may_read.get() {
             return true;
@@ -274,7 +274,7 @@
                 tokio::time::sleep(FIRST_LIST_POLL).await;
             }
         };
-        let told = tokio::time::timeout(FIRST_LIST_PATIENCE, until_told).await;
+        let told = tokio::time::timeout(FIRST_LIST_TIMEOUT, until_told).await;
         told.is_err()
     }
 
@@ -291,10 +291,10 @@
     }
 
     /// A number that differs from report to report.
-    pub(super) fn next_turn(&self) -> u32 {
-        let turn = self.turns.get().wrapping_add(1);
-        self.turns.set(turn);
-        turn
+    pub(super) fn next_rotation(&self) -> u32 {
+        let rotation = self.rotation.get().wrapping_add(1);
+        self.rotation.set(rotation);
+        rotation
     }
 
     /// Takes in which daemon leads the group.
@@ -309,12 +309,12 @@
     }
 
     /// Tells the group what this daemon learnt of a store of cached prompt work.
-    pub fn tell_cached(&self, news: CachedNews) {
+    pub fn announce_cached(&self, news: CachedNews) {
         if news.is_known && !news.is_from_start && news.changes.is_empty() {
             return;
         }
         self.cached_news.borrow_mut().push(news);
-        self.cached_gathered.notify_one();
+        self.cached_news_added.notify_one();
     }
 
     /// A number for the next question.
@@ -325,39 +325,39 @@
     }
 
     /// Tells every daemon how a replica's loading of weights goes.
-    pub fn tell_loading(&self, loading: Loading) {
-        self.outbox.borrow_mut().push(loading);
-        self.news.notify_one();
+    pub fn report_load_status(&self, status: LoadStatus) {
+        self.load_statuses.borrow_mut().push(status);
+        self.outbox_changed.notify_one();
     }
 
     /// Reports to the other daemons which prompt a replica was given, where it has much to read or to keep.
     pub fn report_prompt(&self, mut prompt: WirePrompt) {
         prompt.sender = short_digest(&self.own.name);
-        if prompt.tokens < LEAST_REPORTED_TOKENS && prompt.prefixes.is_empty() {
+        if prompt.tokens < MIN_REPORTED_TOKENS && prompt.prefixes.is_empty() {
             return;
         }
-        self.far.gather(&prompt);
+        self.prompt_relay.gather(&prompt);
         let mut prompts = self.prompts.borrow_mut();
         if prompts.len() < MAX_PROMPTS {
             prompts.push(prompt);
-            self.news.notify_one();
+            self.outbox_changed.notify_one();
         }
     }
 
     /// Takes in that this daemon learnt of replicas or daemons otherwise than from the one that it asks.
-    pub fn learnt_elsewhere(&self) {
-        self.followed.borrow_mut().start_anew();
+    pub fn reset_followed_log(&self) {
+        self.followed.borrow_mut().reset();
     }
 
     /// Announces to every daemon that the store answers again.
     pub fn announce_store(&self) {
-        self.store_recovered.set(true);
-        self.news.notify_one();
+        self.must_announce_store.set(true);
+        self.outbox_changed.notify_one();
     }
 
     /// Tells those who ask this daemon that there are news.
-    pub fn nudge(&self) {
-        self.nudges.set(true);
-        self.news.notify_one();
+    pub fn announce_changes(&self) {
+        self.must_announce_changes.set(true);
+        self.outbox_changed.notify_one();
     }
 }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -3,43 +3,43 @@
 use musli::{Decode, Encode};
 use xxhash_rust::xxh3::xxh3_64;
 
-pub use super::configuration_message::{AskConfiguration, TellConfiguration};
-pub use super::notice_message::{AskPermit, TellPermit, WireLimit, WireNotice};
+pub use super::configuration_message::{ConfigurationQuery, ConfigurationReply};
+pub use super::notice_message::{WireLimit, WireNotice, WirePermitQuery, WirePermitReply};
 use super::packed::PackedReplicas;
-pub use super::quarantine_message::{WireRecord, WireRecords, WireStrike, WireStruck};
+pub use super::quarantine_message::{WireRecord, WireRecordStrike, WireRecords, WireStrike};
 use crate::protocol::{ModelVersion, ReplicaIncarnation};
 
 /// The largest datagram that is sent, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
 /// The largest datagram that is read, in bytes.
-pub const RECEIVE_BYTES: usize = 2048;
+pub const RECEIVE_BUFFER_BYTES: usize = 2048;
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Message {
     /// Asks what is in force and what has changed.
-    Ask(Ask),
+    SyncQuery(SyncQuery),
     /// Answers that.
-    Tell(Box<Tell>),
+    SyncReply(Box<SyncReply>),
     /// There is something new: ask.
-    Nudge,
+    ChangesAvailable,
     /// The store answers again, as a daemon of another group found after it had failed.
     StoreRecovered,
     /// Tells another group how a replica's loading of weights goes.
-    Loading(Loading),
+    LoadStatus(LoadStatus),
     /// Prompts that the sender sent to replicas.
     Prompts(Vec<WirePrompt>),
     /// The same, for the leader of the group, which tells them to all members.
-    GatherPrompts(Vec<WirePrompt>),
+    PromptsForLeader(Vec<WirePrompt>),
     /// Prompts that daemons of other groups sent to replicas.
-    FarPrompts(FarPrompts),
+    OtherGroupPrompts(OtherGroupPrompts),
     /// A report that goes to every member of a group, passed on from member to member.
     Spread(Spread),
     /// Asks for all that such a store keeps.
-    AskCached(AskCached),
+    CachedQuery(CachedQuery),
     /// Answers that.
-    TellCached(TellCached),
+    CachedReply(CachedReply),
     /// What tenants used at the sender, for the leader of its group.
     Usage(WireUsage),
     /// What tenants used in a group, from its leader to the leader of another one.
@@ -51,17 +51,17 @@
     /// Records of such requests: from another group, whose news the own group is to know, or for the receiver alone.
     Records(WireRecords),
     /// Asks which configuration the receiver holds, and for pieces of it.
-    AskConfiguration(AskConfiguration),
+    ConfigurationQuery(ConfigurationQuery),
     /// Answers that.
-    TellConfiguration(TellConfiguration),
+    ConfigurationReply(ConfigurationReply),
     /// What replicas say of themselves, for the receiver's group.
     Notices(Vec<WireNotice>),
     /// The same for the receiver alone.
     Reminder(Vec<WireNotice>),
     /// Asks for a permit to send a request to a replica.
-    AskPermit(AskPermit),
+    PermitQuery(WirePermitQuery),
     /// Answers that.
-    TellPermit(TellPermit),
+    PermitReply(WirePermitReply),
 }
 
 /// A report on its way through a group, see [`super::spread`].
@@ -70,7 +70,7 @@
     /// The digest of the name of the member that sent it first.
     pub root: u64,
     /// Differs from report to report, so that the members take turns in passing them on.
-    pub turn: u32,
+    pub rotation: u32,
     /// What is reported.
     pub report: Report,
 }
@@ -85,7 +85,7 @@
     /// What tenants used, by group.
     Usage(Vec<WireGroupUsage>),
     /// How a replica's loading of weights goes.
-    Loading(Loading),
+    LoadStatus(LoadStatus),
     /// The store answers again.
     StoreRecovered,
     /// What is known of requests that end replicas.
@@ -115,7 +115,7 @@
     /// The digest of the daemon's name.
     pub daemon: u64,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// The totals.
     pub totals: Vec<WireTotals>,
     /// When they were told, in milliseconds since some moment of that life.
@@ -129,7 +129,7 @@
     /// The name of the group, see [`super::directory::Directory::group_name`].
     pub group: String,
     /// The life of its leader.
-    pub life: u64,
+    pub incarnation: u64,
     /// The totals.
     pub totals: Vec<WireTotals>,
     /// The digest of its leader's name.
@@ -142,49 +142,49 @@
 
 /// A question.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Ask {
+pub struct SyncQuery {
     /// Returned in the answer.
     pub nonce: u64,
-    /// The log of which the sender has the changes up to [`Ask::sequence`].
-    pub log: u64,
+    /// The log of which the sender has the changes up to [`SyncQuery::sequence`].
+    pub log_id: u64,
     /// The last change that it has.
     pub sequence: u64,
-    /// The digest of all items that it has, see [`super::change_log::ChangeLog::content`].
+    /// The digest of all items that it has, see [`super::change_log::ChangeLog::content_digest`].
     #[musli(default)]
-    pub content: u64,
+    pub content_digest: u64,
     /// The digest of what is known of requests that end replicas, see [`crate::quarantine::ledger::Ledger::digest`].
     #[musli(default)]
-    pub quarantine: Option<u64>,
+    pub quarantine_digest: Option<u64>,
     /// The latest era of the store that is known, see [`crate::store::StoreEra`].
     #[musli(default)]
     pub store_era: Option<u64>,
     /// The version of the configuration that the sender holds; 0 for none.
     #[musli(default)]
-    pub configuration: u64,
-    /// Whether the sender understands [`Tell::packed`]. The number 7 stands for another form of it.
+    pub configuration_version: u64,
+    /// Whether the sender understands [`SyncReply::packed`]. The number 7 stands for another form of it.
     #[musli(Binary, name = 8, default)]
-    pub takes_packed: bool,
+    pub accepts_packed: bool,
 }
 
 /// An answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Tell {
+pub struct SyncReply {
     /// The nonce of the question.
     pub nonce: u64,
-    /// How old the proof is that [`Tell::configuration`] was the newest, in milliseconds.
+    /// How old the proof is that [`SyncReply::configuration_version`] was the newest, in milliseconds.
     pub proof_age_ms: Option<u64>,
     /// How long ago somebody who reads the whole store knew all that is told here, in milliseconds.
     pub view_age_ms: Option<u64>,
-    /// The highest revision of the store that is known of [`Tell::store_era`].
+    /// The highest revision of the store that is known of [`SyncReply::store_era`].
     pub store_revision: u64,
     /// The version of the configuration in force.
-    pub configuration: u64,
+    pub configuration_version: u64,
     /// The wanted weights.
     pub weights: Vec<WireWeights>,
     /// The lease for orders.
     pub lease: Option<WireLease>,
     /// The log that the changes are of.
-    pub log: u64,
+    pub log_id: u64,
     /// The last change that these go up to.
     pub sequence: u64,
     /// Whether the changes are all that there is, so that what is not among them is gone.
@@ -195,33 +195,33 @@
     pub changes: Vec<Change>,
     /// Whether the asking daemon has all items of this log already, as its digest shows.
     #[musli(default)]
-    pub is_same: bool,
+    pub has_same_items: bool,
     /// How long ago the store was last known to be down for all, in milliseconds.
     #[musli(default)]
     pub store_down_age_ms: Option<u64>,
-    /// As [`Ask::quarantine`].
+    /// As [`SyncQuery::quarantine_digest`].
     #[musli(default)]
-    pub quarantine: Option<u64>,
-    /// As [`Ask::store_era`].
+    pub quarantine_digest: Option<u64>,
+    /// As [`SyncQuery::store_era`].
     #[musli(default)]
     pub store_era: Option<u64>,
-    /// The revision, of [`Tell::store_era`], that the read told which began [`Tell::proof_age_ms`] ago. The highest one that
+    /// The revision, of [`SyncReply::store_era`], that the read told which began [`SyncReply::proof_age_ms`] ago. The highest one that
     /// is known says nothing of that moment.
     #[musli(default)]
     pub proof_revision: Option<u64>,
     /// The highest token of a lease that is known; 0 for none.
     #[musli(default)]
     pub highest_token: u64,
-    /// Replicas that belong to [`Tell::changes`], where the question said that these are understood. The number 18 stands
+    /// Replicas that belong to [`SyncReply::changes`], where the question said that these are understood. The number 18 stands
     /// for another form of them.
     #[musli(Binary, name = 19, default)]
     pub packed: Option<Box<PackedReplicas>>,
     /// Weights that may have been named, see [`crate::suspected_weights`].
     #[musli(Binary, name = 20, default)]
-    pub suspected: Vec<WireWeights>,
-    /// The log of the daemon whose reads of the store [`Tell::view_age_ms`] counts from; none where it is not known.
+    pub suspected_weights: Vec<WireWeights>,
+    /// The log of the daemon whose reads of the store [`SyncReply::view_age_ms`] counts from; none where it is not known.
     #[musli(Binary, name = 21, default)]
-    pub view_reader: Option<u64>,
+    pub view_reader_log: Option<u64>,
 }
 
 /// Wanted weights.
@@ -246,7 +246,7 @@
     /// The holder; empty where it was given back.
     pub holder: String,
     /// The life of the holder.
-    pub life: u64,
+    pub incarnation: u64,
     /// The fencing token.
     pub token: u64,
     /// The number of renewals.
@@ -256,7 +256,7 @@
     pub era: Option<u64>,
     /// The era that its writer knew, see [`crate::protocol::LeaseRecord::era`].
     #[musli(default)]
-    pub written_in: Option<u64>,
+    pub writer_era: Option<u64>,
 }
 
 /// One change.
@@ -265,7 +265,7 @@
     /// An item is there, or has changed.
     Put(Item),
     /// An item is gone.
-    Gone(ItemKey),
+    Removed(ItemKey),
 }
 
 impl Change {
@@ -273,7 +273,7 @@
     pub fn key(&self) -> ItemKey {
         match self {
             Self::Put(item) => item.key(),
-            Self::Gone(key) => key.clone(),
+            Self::Removed(key) => key.clone(),
         }
     }
 
@@ -296,7 +296,7 @@
             Self::Put(Item::Daemon(daemon)) => {
                 of_texts(&[&daemon.name, &daemon.peers, &daemon.zone])
             }
-            Self::Gone(ItemKey::Replica(name) | ItemKey::Daemon(name)) => name.len(),
+            Self::Removed(ItemKey::Replica(name) | ItemKey::Daemon(name)) => name.len(),
         };
         FIELDS + content
     }
@@ -359,15 +359,15 @@
 
 impl WirePrompt {
     /// The life that was given the prompt.
-    pub fn life(&self) -> ReplicaIncarnation {
-        life(&self.replica, self.born)
+    pub fn incarnation(&self) -> ReplicaIncarnation {
+        incarnation(&self.replica, self.born)
     }
 }
 
-impl Loading {
+impl LoadStatus {
     /// The life that loads.
-    pub fn life(&self) -> ReplicaIncarnation {
-        life(&self.replica, self.born)
+    pub fn incarnation(&self) -> ReplicaIncarnation {
+        incarnation(&self.replica, self.born)
     }
 
     /// What it loads.
@@ -380,7 +380,7 @@
 }
 
 /// The life of the replica `id` that began at `born`.
-pub(super) fn life(id: &str, born: Option<u64>) -> ReplicaIncarnation {
+pub(super) fn incarnation(id: &str, born: Option<u64>) -> ReplicaIncarnation {
     ReplicaIncarnation {
         id: id.to_owned(),
         born,
@@ -421,7 +421,7 @@
 
 /// Prompts that daemons of one group sent, for another group.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct FarPrompts {
+pub struct OtherGroupPrompts {
     /// The prompts.
     pub prompts: Vec<WirePrompt>,
     /// The zone of the daemons that sent them.
@@ -448,7 +448,7 @@
 
 /// A question for a page of what a store keeps.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct AskCached {
+pub struct CachedQuery {
     /// Returned in the answer.
     pub nonce: u64,
     /// The store's address.
@@ -459,7 +459,7 @@
 
 /// A page of what a store keeps; one that is not full is the last.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct TellCached {
+pub struct CachedReply {
     /// The nonce of the question.
     pub nonce: u64,
     /// The life of the store.
@@ -474,7 +474,7 @@
 
 /// How a replica's loading of weights goes.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct Loading {
+pub struct LoadStatus {
     /// The replica's id.
     pub replica: String,
     /// Which of its lives, see [`ReplicaIncarnation::born`].
--- a/crates/gateway/src/peers/notice_message.rs
+++ b/crates/gateway/src/peers/notice_message.rs
@@ -2,7 +2,7 @@
 
 use musli::{Decode, Encode};
 
-use super::message::life;
+use super::message::incarnation;
 use crate::protocol::ReplicaIncarnation;
 
 /// What one life of a replica says of itself.
@@ -23,8 +23,8 @@
 
 impl WireNotice {
     /// The life that says it.
-    pub fn life(&self) -> ReplicaIncarnation {
-        life(&self.replica, self.born)
+    pub fn incarnation(&self) -> ReplicaIncarnation {
+        incarnation(&self.replica, self.born)
     }
 }
 
@@ -41,18 +41,18 @@
 
 /// Asks for a permit.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct AskPermit {
+pub struct WirePermitQuery {
     /// Returned in the answer.
     pub nonce: u64,
     /// The digest of the replica's life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its limit in thousandths of a request a second, as the asking daemon knows it; none asks only whether the receiver is there.
     pub limit_thousandths: Option<u64>,
 }
 
 /// Answers that.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct TellPermit {
+pub struct WirePermitReply {
     /// The nonce of the question.
     pub nonce: u64,
     /// The digest of the answering daemon's name.
--- a/crates/gateway/src/peers/notices.rs
+++ b/crates/gateway/src/peers/notices.rs
@@ -9,7 +9,7 @@
 
 use super::convert::to_ms;
 use super::message::{Message, Report, WireLimit, WireNotice};
-use super::news::tell_other_groups;
+use super::news::send_to_other_groups;
 use super::send::send_to;
 use super::spread::spread;
 use crate::notices::survey::HOLDS_FOR;
@@ -19,19 +19,19 @@
 use crate::state::GatewayState;
 
 /// How long notices are gathered: replicas that are in need are so together.
-const GATHERING: Duration = Duration::from_millis(5);
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
 /// The time between two reminders of one daemon: a lost datagram costs one request of each daemon that missed it.
-const BETWEEN_REMINDERS: Duration = Duration::from_secs(5);
+const REMINDER_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Replicas of which one reminder tells, others at each turn.
-const MAX_REMINDED: usize = 36;
+const MAX_REMINDER_NOTICES: usize = 36;
 
 /// Notices of one datagram, which so stays below 1,200 bytes: each takes up to 80 of them.
 const MAX_NOTICES: usize = 12;
 
 /// Tells what is new, for ever.
-pub(super) async fn tell(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
+pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
         let changed = state.notice_news.changed.notified();
         let has_news = tokio::time::timeout(HOLDS_FOR, changed).await.is_ok();
@@ -39,7 +39,7 @@
         if !has_news {
             continue;
         }
-        tokio::time::sleep(GATHERING).await;
+        tokio::time::sleep(BATCH_DELAY).await;
         let replicas = state.notice_news.take();
         let now = Instant::now();
         let notices: Vec<WireNotice> = replicas
@@ -47,7 +47,7 @@
             .map(|replica| to_wire(replica, now))
             .collect();
         for notices in notices.chunks(MAX_NOTICES) {
-            tell_other_groups(&state, &socket, &Message::Notices(notices.to_vec())).await;
+            send_to_other_groups(&state, &socket, &Message::Notices(notices.to_vec())).await;
             spread(&state, &socket, Report::Notices(notices.to_vec())).await;
         }
     }
@@ -72,9 +72,9 @@
         return;
     }
     let now = Instant::now();
-    let first = (state.peers.next_turn() as usize * MAX_REMINDED) % replicas.len();
+    let first = (state.peers.next_rotation() as usize * MAX_REMINDER_NOTICES) % replicas.len();
     let others = replicas.iter().cycle().skip(first);
-    let told = others.take(MAX_REMINDED.min(replicas.len()));
+    let told = others.take(MAX_REMINDER_NOTICES.min(replicas.len()));
     let notices: Vec<WireNotice> = told.map(|replica| to_wire(replica, now)).collect();
     for notices in notices.chunks(MAX_NOTICES) {
         send_to(socket, &Message::Reminder(notices.to_vec()), to).await;
@@ -82,13 +82,13 @@
 }
 
 fn is_due(state: &GatewayState, to: SocketAddr) -> bool {
-    let mut reminded = state.peers.reminded.borrow_mut();
-    let is_due = reminded
+    let mut reminded_at = state.peers.reminded_at.borrow_mut();
+    let is_due = reminded_at
         .get(&to)
-        .is_none_or(|at| at.elapsed() >= BETWEEN_REMINDERS);
+        .is_none_or(|at| at.elapsed() >= REMINDER_INTERVAL);
     if is_due {
-        reminded.retain(|_, at| at.elapsed() < BETWEEN_REMINDERS);
-        reminded.insert(to, Instant::now());
+        reminded_at.retain(|_, at| at.elapsed() < REMINDER_INTERVAL);
+        reminded_at.insert(to, Instant::now());
     }
     is_due
 }
@@ -109,14 +109,14 @@
 }
 
 /// Takes in what others were told by replicas.
-pub(super) fn take(state: &GatewayState, notices: &[WireNotice]) {
+pub(super) fn apply(state: &GatewayState, notices: &[WireNotice]) {
     let now = Instant::now();
     let ago = |age_ms: u64| {
         now.checked_sub(Duration::from_millis(age_ms))
             .unwrap_or(now)
     };
     for notice in notices {
-        let Some(replica) = state.registry.current(&notice.life()) else {
+        let Some(replica) = state.registry.current(&notice.incarnation()) else {
             continue;
         };
         if notice.is_leaving {
--- a/crates/gateway/src/peers/packed.rs
+++ b/crates/gateway/src/peers/packed.rs
@@ -2,15 +2,15 @@
 //!
 //! After all daemons of a large group were killed its reader tells each of them of all replicas over one link and one
 //! processor, and nothing is served before: 3,300 replicas take 311 kB as they are. Daemons of an earlier version don't
-//! ask for it ([`super::message::Ask::takes_packed`]) and are told as before.
+//! ask for it ([`super::message::SyncQuery::accepts_packed`]) and are told as before.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
 use musli::mode::Binary;
 use musli::{Decode, Encode};
 
-use super::bit_rows::{BitRows, MOST_ROWS, add_differences, packed_bytes};
-use super::message::{Change, Item, Tell, WireReplica};
+use super::bit_rows::{BitRows, MAX_ROWS, add_differences, packed_bytes};
+use super::message::{Change, Item, SyncReply, WireReplica};
 
 /// The bytes of an address: four of the machine and two of the port, the high ones first.
 const ADDRESS_BYTES: usize = 6;
@@ -58,7 +58,7 @@
 
 impl PackedReplicas {
     /// Takes replicas out of `changes`; what can't be packed stays there.
-    pub fn take_from(changes: &mut Vec<Change>) -> Self {
+    pub fn take_replicas(changes: &mut Vec<Change>) -> Self {
         let mut packer = Packer::default();
         changes.retain(|change| match change {
             Change::Put(Item::Replica(replica)) => !packer.add(replica),
@@ -68,8 +68,8 @@
     }
 
     /// The text at this place.
-    fn text(&self, place: u8) -> Option<String> {
-        self.texts.get(usize::from(place)).cloned()
+    fn text(&self, index: u8) -> Option<String> {
+        self.texts.get(usize::from(index)).cloned()
     }
 
     /// The replicas as changes. One whose row, kind or names can't be read is left out.
@@ -82,7 +82,7 @@
     }
 
     fn replica(&self, row: &[u8], has_birth: bool) -> Option<WireReplica> {
-        let (place, rest) = row.split_first()?;
+        let (index, rest) = row.split_first()?;
         let (address, rest) = rest.split_first_chunk::<ADDRESS_BYTES>()?;
         let (born, id) = match has_birth {
             true => {
@@ -91,7 +91,7 @@
             }
             false => (None, rest),
         };
-        let kind = self.kinds.get(usize::from(*place))?;
+        let kind = self.kinds.get(usize::from(*index))?;
         let models = kind.models.iter();
         let models = models.map(|(model, version)| Some((self.text(*model)?, *version)));
         Some(WireReplica {
@@ -109,16 +109,16 @@
 
 /// The rows of a table while they are gathered.
 #[derive(Debug, Default)]
-struct Gathered {
+struct TableBuilder {
     has_birth: bool,
     rows: Vec<Vec<u8>>,
     differing: Vec<u8>,
 }
 
-impl Gathered {
-    fn takes(&self, row: &[u8], has_birth: bool) -> bool {
+impl TableBuilder {
+    fn accepts(&self, row: &[u8], has_birth: bool) -> bool {
         let is_alike = self.has_birth == has_birth && self.differing.len() == row.len();
-        is_alike && self.rows.len() < MOST_ROWS
+        is_alike && self.rows.len() < MAX_ROWS
     }
 
     fn add(&mut self, row: Vec<u8>) {
@@ -140,7 +140,7 @@
     kinds: Vec<ReplicaKind>,
     /// What texts and kinds take, in bytes.
     names_bytes: usize,
-    tables: Vec<Gathered>,
+    tables: Vec<TableBuilder>,
 }
 
 impl Packer {
@@ -149,10 +149,10 @@
         let Some(address) = packed_address(&replica.address) else {
             return false;
         };
-        let Some(place) = self.place_of_kind(replica) else {
+        let Some(index) = self.kind_index(replica) else {
             return false;
         };
-        let mut row = vec![place];
+        let mut row = vec![index];
         row.extend(address);
         row.extend(replica.born.map(u64::to_be_bytes).into_iter().flatten());
         row.extend(replica.id.as_bytes());
@@ -161,45 +161,45 @@
     }
 
     /// The table that takes this row, which is added where there is none.
-    fn table_for(&mut self, row: &[u8], has_birth: bool) -> &mut Gathered {
+    fn table_for(&mut self, row: &[u8], has_birth: bool) -> &mut TableBuilder {
         let known = self
             .tables
             .iter()
-            .position(|table| table.takes(row, has_birth));
-        let place = known.unwrap_or(self.tables.len());
+            .position(|table| table.accepts(row, has_birth));
+        let index = known.unwrap_or(self.tables.len());
         if known.is_none() {
-            self.tables.push(Gathered {
+            self.tables.push(TableBuilder {
                 has_birth,
                 rows: Vec::new(),
                 differing: vec![0; row.len()],
             });
         }
-        &mut self.tables[place]
+        &mut self.tables[index]
     }
 
     /// The place of a replica's kind, which is added where it is new; nothing where there are too many.
-    fn place_of_kind(&mut self, replica: &WireReplica) -> Option<u8> {
+    fn kind_index(&mut self, replica: &WireReplica) -> Option<u8> {
         let mut models = Vec::new();
         for (model, version) in &replica.models {
-            models.push((self.place_of_text(model)?, *version));
+            models.push((self.text_index(model)?, *version));
         }
         let kind = ReplicaKind {
-            service: self.place_of_text(&replica.service)?,
-            zone: self.place_of_text(&replica.zone)?,
+            service: self.text_index(&replica.service)?,
+            zone: self.text_index(&replica.zone)?,
             slots: replica.slots,
             is_draining: replica.is_draining,
             models,
         };
-        place_of(&mut self.kinds, &mut self.names_bytes, &kind)
+        index_of(&mut self.kinds, &mut self.names_bytes, &kind)
     }
 
-    fn place_of_text(&mut self, text: &String) -> Option<u8> {
-        place_of(&mut self.texts, &mut self.names_bytes, text)
+    fn text_index(&mut self, text: &String) -> Option<u8> {
+        index_of(&mut self.texts, &mut self.names_bytes, text)
     }
 
     /// About the size of all that was added, in bytes.
     fn bytes(&self) -> usize {
-        let tables = self.tables.iter().map(Gathered::bytes);
+        let tables = self.tables.iter().map(TableBuilder::bytes);
         self.names_bytes + tables.sum::<usize>()
     }
 
@@ -217,20 +217,20 @@
 }
 
 /// The place of `item`, which is added where it is new, as is its size to `bytes`; nothing where there are too many.
-fn place_of<T>(items: &mut Vec<T>, bytes: &mut usize, item: &T) -> Option<u8>
+fn index_of<T>(items: &mut Vec<T>, bytes: &mut usize, item: &T) -> Option<u8>
 where
     T: PartialEq + Clone + Encode<Binary>,
 {
     let known = items.iter().position(|known| known == item);
-    let place = u8::try_from(known.unwrap_or(items.len())).ok()?;
+    let index = u8::try_from(known.unwrap_or(items.len())).ok()?;
     if known.is_none() {
         *bytes += musli::wire::to_vec(item).map_or(0, |encoded| encoded.len());
         items.push(item.clone());
     }
-    Some(place)
+    Some(index)
 }
 
-impl Tell {
+impl SyncReply {
     /// Puts packed replicas back among the changes.
     pub fn unpack(&mut self) {
         if let Some(packed) = self.packed.take() {
@@ -241,19 +241,19 @@
 
 /// Counts what fits into a page of packed changes.
 #[derive(Debug)]
-pub struct PackedSize {
-    most: usize,
+pub struct PackedPageSize {
+    max_bytes: usize,
     /// The size of what is told as it is.
-    plain: usize,
+    unpacked_bytes: usize,
     packer: Packer,
 }
 
-impl PackedSize {
+impl PackedPageSize {
     /// An empty page of so many bytes.
     pub fn new(bytes: usize) -> Self {
         Self {
-            most: bytes,
-            plain: 0,
+            max_bytes: bytes,
+            unpacked_bytes: 0,
             packer: Packer::default(),
         }
     }
@@ -265,9 +265,9 @@
             _ => false,
         };
         if !is_packed {
-            self.plain += change.wire_size();
+            self.unpacked_bytes += change.wire_size();
         }
-        self.plain + self.packer.bytes() <= self.most
+        self.unpacked_bytes + self.packer.bytes() <= self.max_bytes
     }
 }
 
--- a/crates/gateway/src/peers/permits.rs
+++ b/crates/gateway/src/peers/permits.rs
@@ -6,19 +6,19 @@
 
 use super::convert::to_ms;
 use super::directory::name_digest;
-use super::message::{AskPermit, Message, TellPermit};
+use super::message::{Message, WirePermitQuery, WirePermitReply};
 use super::send::{send, send_to};
 use crate::permits;
 use crate::protocol::RequestRate;
 use crate::state::GatewayState;
 
 /// Sends questions, for ever.
-pub(super) async fn ask(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
+pub(super) async fn send_queries(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     let questions = &state.permits.questions;
     loop {
         questions.asked.notified().await;
-        for (question, to) in questions.take_outbox() {
-            send(&socket, &Message::AskPermit(question), &to).await;
+        for (query, to) in questions.take_outbox() {
+            send(&socket, &Message::PermitQuery(query), &to).await;
         }
     }
 }
@@ -27,28 +27,26 @@
 pub(super) async fn answer(
     state: &Rc<GatewayState>,
     socket: &tokio::net::UdpSocket,
-    question: &AskPermit,
+    query: &WirePermitQuery,
     from: SocketAddr,
 ) {
-    let rate = question
-        .limit_thousandths
-        .map(RequestRate::from_thousandths);
+    let rate = query.limit_thousandths.map(RequestRate::from_thousandths);
     let issued = match rate {
-        Some(rate) => permits::issue(state, question.life, rate),
+        Some(rate) => permits::issue(state, query.incarnation, rate),
         None => Err(Duration::ZERO),
     };
     let wait = issued.err().unwrap_or_default();
-    let told = TellPermit {
-        nonce: question.nonce,
+    let told = WirePermitReply {
+        nonce: query.nonce,
         daemon: name_digest(&state.peers.own().name),
         is_granted: issued.is_ok(),
         wait_ms: to_ms(wait),
     };
-    send_to(socket, &Message::TellPermit(told), from).await;
+    send_to(socket, &Message::PermitReply(told), from).await;
 }
 
 /// Takes in an answer.
-pub(super) fn take(state: &GatewayState, told: TellPermit) {
+pub(super) fn apply(state: &GatewayState, told: WirePermitReply) {
     state.permits.note_answer(told.daemon);
     state.permits.questions.answer(told);
 }
--- a/crates/gateway/src/peers/far.rs
+++ b/crates/gateway/src/peers/prompt_relay.rs
@@ -10,22 +10,22 @@
 
 use tokio::sync::Notify;
 
-use super::known::{LEAST_REPORTED_TOKENS, MAX_PROMPTS};
-use super::message::{FarPrompts, Message, Report, WirePrompt};
-use super::news::tell_other_groups;
+use super::known::{MAX_PROMPTS, MIN_REPORTED_TOKENS};
+use super::message::{Message, OtherGroupPrompts, Report, WirePrompt};
+use super::news::send_to_other_groups;
 use super::spread::spread;
 use crate::state::GatewayState;
 
 /// How long prompts are gathered into a batch. They also show how busy replicas are, so this is short against
 /// the 600 ms in which a prompt should be read (a grown deployment, one play: worth 0.5745, with 100 ms 0.5639).
-const GATHERING: Duration = Duration::from_millis(40);
+const BATCH_DELAY: Duration = Duration::from_millis(40);
 
 /// Datagrams of one batch; more prompts are dropped. 108 prompts in 40 ms are 2,700 a second.
 const MAX_DATAGRAMS: usize = 6;
 
 /// The batches of a relay.
 #[derive(Debug, Default)]
-pub struct FarExchange {
+pub struct PromptRelay {
     is_relay: Cell<bool>,
     /// Wakes the task that sends the batches.
     gathered: Notify,
@@ -44,7 +44,7 @@
     pub incoming: Vec<WirePrompt>,
 }
 
-impl FarExchange {
+impl PromptRelay {
     /// Takes in whether this daemon is the relay of its group.
     pub fn set_relay(&self, is_relay: bool) {
         self.is_relay.set(is_relay);
@@ -52,7 +52,7 @@
 
     /// Adds a prompt of the own group to the next batch, where this daemon is the relay.
     pub fn gather(&self, prompt: &WirePrompt) {
-        if self.is_relay.get() && prompt.tokens >= LEAST_REPORTED_TOKENS {
+        if self.is_relay.get() && prompt.tokens >= MIN_REPORTED_TOKENS {
             self.push(&self.outgoing, prompt);
         }
     }
@@ -67,7 +67,7 @@
     /// The next batch, once prompts have come and more had time to.
     pub async fn next_batch(&self) -> Batch {
         self.gathered.notified().await;
-        tokio::time::sleep(GATHERING).await;
+        tokio::time::sleep(BATCH_DELAY).await;
         Batch {
             outgoing: self.outgoing.take(),
             incoming: self.incoming.take(),
@@ -86,16 +86,16 @@
 /// Sends the batches, for ever.
 pub(super) async fn run(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
-        let batch = state.peers.far.next_batch().await;
+        let batch = state.peers.prompt_relay.next_batch().await;
         for prompts in batch.incoming.chunks(MAX_PROMPTS) {
             spread(&state, &socket, Report::Prompts(prompts.to_vec())).await;
         }
         for prompts in batch.outgoing.chunks(MAX_PROMPTS) {
-            let message = Message::FarPrompts(FarPrompts {
+            let message = Message::OtherGroupPrompts(OtherGroupPrompts {
                 prompts: prompts.to_vec(),
                 zone: state.peers.own().zone.clone(),
             });
-            tell_other_groups(&state, &socket, &message).await;
+            send_to_other_groups(&state, &socket, &message).await;
         }
     }
 }
--- a/crates/gateway/src/peers/quarantine_message.rs
+++ b/crates/gateway/src/peers/quarantine_message.rs
@@ -27,7 +27,7 @@
 
 /// One of the ends in a [`WireRecord`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct WireStruck {
+pub struct WireRecordStrike {
     /// The digest of the id of the replica's life.
     pub replica: u64,
     /// How long ago it ended, in milliseconds.
@@ -47,7 +47,7 @@
     /// How often it was cleared.
     pub generation: u32,
     /// The replicas that ended.
-    pub strikes: Vec<WireStruck>,
+    pub strikes: Vec<WireRecordStrike>,
     /// Whether it is quarantined.
     pub is_quarantined: bool,
     /// How often it was tried in quarantine.
--- a/crates/gateway/src/peers/records.rs
+++ b/crates/gateway/src/peers/records.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use super::convert::to_ms;
-use super::message::{Message, Report, WireRecord, WireRecords, WireStrike, WireStruck};
-use super::news::tell_other_groups;
+use super::message::{Message, Report, WireRecord, WireRecordStrike, WireRecords, WireStrike};
+use super::news::send_to_other_groups;
 use super::send::{send, send_to};
 use super::spread::spread;
 use crate::quarantine::shared::{ANNOUNCE_INTERVAL, Outbox};
@@ -21,7 +21,7 @@
 use crate::store::{StoreEra, StorePosition};
 
 /// How long news are gathered: a replica that ends strikes some dozen requests at once.
-const GATHERING: Duration = Duration::from_millis(2);
+const BATCH_DELAY: Duration = Duration::from_millis(2);
 
 /// Strikes, and fingerprints, of one datagram, which so stays below 1,200 bytes: each takes up to 60 of them.
 const MAX_STRIKES: usize = 18;
@@ -30,10 +30,10 @@
 const MAX_RECORDS: usize = 2;
 
 /// Records that are sent to one daemon which knows others; the rest follows with its next question.
-const MAX_SENT: usize = 60;
+const MAX_RECONCILED: usize = 60;
 
 /// Tells others, for ever.
-pub(super) async fn tell(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
+pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
         match state.quarantine.has_announcements() {
             true => {
@@ -43,22 +43,22 @@
             }
             false => state.quarantine.announce_wakeup.notified().await,
         }
-        tokio::time::sleep(GATHERING).await;
+        tokio::time::sleep(BATCH_DELAY).await;
         let outbox = state.quarantine.take_outbox();
-        tell_homes(&state, &socket, &outbox).await;
+        send_to_homes(&state, &socket, &outbox).await;
         let news: Vec<WireRecord> = outbox
             .updates
             .iter()
             .filter_map(|fingerprint| own_record(&state, *fingerprint))
             .collect();
         for records in news.chunks(MAX_RECORDS) {
-            tell_all(&state, &socket, records).await;
+            send_to_all_daemons(&state, &socket, records).await;
         }
     }
 }
 
 /// Sends strikes, and requests that ended well, to the daemons that count for them.
-async fn tell_homes(state: &GatewayState, socket: &tokio::net::UdpSocket, outbox: &Outbox) {
+async fn send_to_homes(state: &GatewayState, socket: &tokio::net::UdpSocket, outbox: &Outbox) {
     let now = state.quarantine.now();
     let strikes = outbox.strikes.iter().map(|(fingerprint, strike)| {
         let strike = WireStrike {
@@ -101,12 +101,16 @@
     by_home
 }
 
-async fn tell_all(state: &GatewayState, socket: &tokio::net::UdpSocket, records: &[WireRecord]) {
+async fn send_to_all_daemons(
+    state: &GatewayState,
+    socket: &tokio::net::UdpSocket,
+    records: &[WireRecord],
+) {
     let message = Message::Records(WireRecords {
         records: records.to_vec(),
         is_for_group: true,
     });
-    tell_other_groups(state, socket, &message).await;
+    send_to_other_groups(state, socket, &message).await;
     spread(state, socket, Report::Records(records.to_vec())).await;
 }
 
@@ -126,7 +130,7 @@
         let known = known.map(|(fingerprint, record)| wire(state, fingerprint, record));
         known.collect::<Vec<WireRecord>>()
     });
-    let known = part(known, state.peers.next_turn());
+    let known = rotated_part(known, state.peers.next_rotation());
     for records in known.chunks(MAX_RECORDS) {
         let message = Message::Records(WireRecords {
             records: records.to_vec(),
@@ -137,11 +141,11 @@
 }
 
 /// As many records as are sent to one daemon, others at each turn.
-fn part(mut records: Vec<WireRecord>, turn: u32) -> Vec<WireRecord> {
-    let first = (turn as usize * MAX_SENT) % records.len().max(1);
+fn rotated_part(mut records: Vec<WireRecord>, rotation: u32) -> Vec<WireRecord> {
+    let first = (rotation as usize * MAX_RECONCILED) % records.len().max(1);
     records.sort_by_key(|record| record.fingerprint);
     records.rotate_left(first);
-    records.truncate(MAX_SENT);
+    records.truncate(MAX_RECONCILED);
     records
 }
 
@@ -152,7 +156,7 @@
 
 /// Takes in strikes. Those that waited for this daemon while it stood still are left out, as if lost: when their replicas ended is
 /// not known, and they would seem to have ended together. The others that count for the request know, and tell the record.
-pub(super) fn take_strikes(state: &GatewayState, strikes: &[WireStrike]) {
+pub(super) fn apply_strikes(state: &GatewayState, strikes: &[WireStrike]) {
     if standstill::has_just_woken() {
         log::info!(
             "{} strikes that may have waited are left out",
@@ -178,7 +182,7 @@
 }
 
 /// Takes in that requests ended well.
-pub(super) fn take_cleared(state: &GatewayState, cleared: &[u128]) {
+pub(super) fn apply_cleared(state: &GatewayState, cleared: &[u128]) {
     for number in cleared {
         let fingerprint = Fingerprint::from_number(*number);
         state.quarantine.clear(fingerprint, RecordSource::Peer);
@@ -186,7 +190,7 @@
 }
 
 /// Takes in records; true where there was news among them.
-pub(super) fn take_records(state: &GatewayState, records: &[WireRecord]) -> bool {
+pub(super) fn apply_records(state: &GatewayState, records: &[WireRecord]) -> bool {
     let now = state.quarantine.now();
     let directory = state.peers.directory();
     let mut has_news = false;
@@ -240,7 +244,7 @@
         fingerprint: fingerprint.number(),
         generation: record.generation,
         strikes: strikes
-            .map(|strike| WireStruck {
+            .map(|strike| WireRecordStrike {
                 replica: strike.replica,
                 age_ms: age_ms(now, strike.at),
                 is_coincident: strike.is_coincident,
--- a/crates/gateway/src/peers/spread.rs
+++ b/crates/gateway/src/peers/spread.rs
@@ -7,7 +7,7 @@
 use driftspring_clock::Instant;
 use std::ops::Range;
 
-use super::answer::{take_loading, take_prompts};
+use super::answer::{apply_load_status, apply_prompts};
 use super::cached;
 use super::directory::{Directory, name_digest};
 use super::message::{Message, Report, Spread};
@@ -21,14 +21,14 @@
 const FAN_OUT: usize = 8;
 
 /// The places to which the member at `place` passes a report on, of `count` members in all; the root has place 0.
-pub fn children(place: usize, count: usize) -> Range<usize> {
-    let first = place * FAN_OUT + 1;
+pub fn children(position: usize, count: usize) -> Range<usize> {
+    let first = position * FAN_OUT + 1;
     first.min(count)..(first + FAN_OUT).min(count)
 }
 
 /// The addresses to which the member with the digest `own` passes on a report of the member with the digest `root`.
 /// Members that know different groups may leave some out or reach them twice.
-pub fn receivers(directory: &Directory, root: u64, turn: u32, own: u64) -> Vec<&str> {
+pub fn receivers(directory: &Directory, root: u64, rotation: u32, own: u64) -> Vec<&str> {
     let others: Vec<_> = directory
         .group
         .iter()
@@ -37,37 +37,41 @@
     if others.is_empty() {
         return Vec::new();
     }
-    let turn = turn as usize % others.len();
-    let place = match own == root {
+    let rotation = rotation as usize % others.len();
+    let position = match own == root {
         true => Some(0),
         false => others
             .iter()
             .position(|member| name_digest(&member.name) == own)
-            .map(|rank| (rank + others.len() - turn) % others.len() + 1),
+            .map(|rank| (rank + others.len() - rotation) % others.len() + 1),
     };
-    let Some(place) = place else {
+    let Some(position) = position else {
         return Vec::new();
     };
-    let at = |place: usize| others[(place - 1 + turn) % others.len()].peers.as_str();
-    children(place, others.len() + 1).map(at).collect()
+    let at = |position: usize| {
+        others[(position - 1 + rotation) % others.len()]
+            .peers
+            .as_str()
+    };
+    children(position, others.len() + 1).map(at).collect()
 }
 
 /// Begins to spread a report through the own group.
 pub(super) async fn spread(state: &GatewayState, socket: &tokio::net::UdpSocket, report: Report) {
     let own = name_digest(&state.peers.own().name);
-    let turn = state.peers.next_turn();
+    let rotation = state.peers.next_rotation();
     let message = Message::Spread(Spread {
         root: own,
-        turn,
+        rotation,
         report,
     });
     let directory = state.peers.directory();
-    let receivers = receivers(&directory, own, turn, own);
+    let receivers = receivers(&directory, own, rotation, own);
     send_to_all(socket, &message, receivers.into_iter()).await;
 }
 
 /// Takes in a report and passes its datagram on.
-pub(super) async fn take(
+pub(super) async fn relay(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
     spread: Spread,
@@ -75,21 +79,21 @@
 ) {
     let own = name_digest(&state.peers.own().name);
     let directory = state.peers.directory();
-    for address in receivers(&directory, spread.root, spread.turn, own) {
+    for address in receivers(&directory, spread.root, spread.rotation, own) {
         send_bytes(socket, datagram, address).await;
     }
     match spread.report {
-        Report::Prompts(prompts) => take_prompts(state, &prompts),
-        Report::Cached(told) => cached::take(state, &told),
+        Report::Prompts(prompts) => apply_prompts(state, &prompts),
+        Report::Cached(told) => cached::apply(state, &told),
         Report::Usage(groups) => {
             let now = Instant::now();
             for usage in &groups {
                 state.quotas.record_group_usage(usage, now);
             }
         }
-        Report::Loading(loading) => take_loading(state, &loading),
-        Report::Records(records) => drop(records::take_records(state, &records)),
-        Report::Notices(told) => notices::take(state, &told),
+        Report::LoadStatus(status) => apply_load_status(state, &status),
+        Report::Records(records) => drop(records::apply_records(state, &records)),
+        Report::Notices(told) => notices::apply(state, &told),
         Report::StoreRecovered => state.store_outage.end(),
     }
 }
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -8,14 +8,14 @@
 
 use tokio::sync::mpsc::{channel, unbounded_channel};
 
-use super::answer::{AnswerQueues, listen};
+use super::answer::{ReplyQueues, listen};
 use super::ask::ask;
 use super::cached;
 use super::configuration;
-use super::far;
-use super::news::tell_news;
+use super::news::send_news;
 use super::notices;
 use super::permits;
+use super::prompt_relay;
 use super::records;
 use super::usage;
 use crate::state::GatewayState;
@@ -32,31 +32,32 @@
     };
     let is_listed = store::join_daemons(&state).await;
     log::debug!("daemons listed at the start: {is_listed}");
-    let (tells, told) = unbounded_channel();
-    let (cached_pages, pages) = unbounded_channel();
-    let (configuration_pieces, told_configurations) = channel(configuration::MAX_QUEUED);
-    let answers = AnswerQueues {
-        tells,
-        cached_pages,
-        configuration_pieces,
+    let (sync_replies, received_replies) = unbounded_channel();
+    let (cached_replies, received_pages) = unbounded_channel();
+    let (configuration_replies, received_configurations) =
+        channel(configuration::MAX_QUEUED_REPLIES);
+    let queues = ReplyQueues {
+        sync_replies,
+        cached_replies,
+        configuration_replies,
     };
-    ntex::rt::spawn(listen(Rc::clone(&state), Rc::clone(&socket), answers));
-    ntex::rt::spawn(cached::tell(Rc::clone(&state), Rc::clone(&socket)));
+    ntex::rt::spawn(listen(Rc::clone(&state), Rc::clone(&socket), queues));
+    ntex::rt::spawn(cached::send_updates(Rc::clone(&state), Rc::clone(&socket)));
     ntex::rt::spawn(cached::catch_up(
         Rc::clone(&state),
         Rc::clone(&socket),
-        pages,
+        received_pages,
     ));
     ntex::rt::spawn(configuration::exchange(
         Rc::clone(&state),
         Rc::clone(&socket),
-        told_configurations,
+        received_configurations,
     ));
-    ntex::rt::spawn(tell_news(Rc::clone(&state), Rc::clone(&socket)));
-    ntex::rt::spawn(far::run(Rc::clone(&state), Rc::clone(&socket)));
-    ntex::rt::spawn(records::tell(Rc::clone(&state), Rc::clone(&socket)));
-    ntex::rt::spawn(notices::tell(Rc::clone(&state), Rc::clone(&socket)));
-    ntex::rt::spawn(permits::ask(Rc::clone(&state), Rc::clone(&socket)));
-    ntex::rt::spawn(usage::tell(Rc::clone(&state), Rc::clone(&socket)));
-    ask(state, socket, told).await;
+    ntex::rt::spawn(send_news(Rc::clone(&state), Rc::clone(&socket)));
+    ntex::rt::spawn(prompt_relay::run(Rc::clone(&state), Rc::clone(&socket)));
+    ntex::rt::spawn(records::send_updates(Rc::clone(&state), Rc::clone(&socket)));
+    ntex::rt::spawn(notices::send_updates(Rc::clone(&state), Rc::clone(&socket)));
+    ntex::rt::spawn(permits::send_queries(Rc::clone(&state), Rc::clone(&socket)));
+    ntex::rt::spawn(usage::send_updates(Rc::clone(&state), Rc::clone(&socket)));
+    ask(state, socket, received_replies).await;
 }
--- a/crates/gateway/src/peers/usage.rs
+++ b/crates/gateway/src/peers/usage.rs
@@ -9,44 +9,44 @@
 
 use super::directory::name_digest;
 use super::message::{Message, Report, WireGroupUsage, WireTotals, WireUsage};
-use super::news::tell_other_groups;
+use super::news::send_to_other_groups;
 use super::send::send;
 use super::spread::spread;
 use crate::state::GatewayState;
 
 /// The time between two reports. In it a tenant that suddenly asks for more is admitted beyond its limit.
-const INTERVAL: Duration = Duration::from_millis(50);
+const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The same where nothing was used: that the daemons are in touch is a report too.
-const QUIET_INTERVAL: Duration = Duration::from_millis(200);
+const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Totals of one datagram, which so stays below 1,200 bytes: each takes up to 50 of them.
 const MAX_TOTALS: usize = 20;
 
 /// Tells what tenants used, for ever.
-pub(super) async fn tell(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
+pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     let mut told = Vec::new();
     let mut told_at = Instant::now();
     loop {
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
         if !state.quotas.has_limits() {
-            tokio::time::sleep(QUIET_INTERVAL).await;
+            tokio::time::sleep(IDLE_REPORT_INTERVAL).await;
             continue;
         }
         let now = Instant::now();
         let own = state.quotas.own_usage(now);
-        let is_quiet = own == told;
+        let is_unchanged = own == told;
         if state.peers.is_leader.get() {
             lead(&state, &socket, own.clone(), now).await;
-        } else if !is_quiet || now.duration_since(told_at) >= QUIET_INTERVAL {
-            tell_leader(&state, &socket, &own).await;
+        } else if !is_unchanged || now.duration_since(told_at) >= IDLE_REPORT_INTERVAL {
+            send_to_leader(&state, &socket, &own).await;
             told_at = now;
         }
         told = own;
     }
 }
 
-async fn tell_leader(state: &GatewayState, socket: &tokio::net::UdpSocket, own: &[WireTotals]) {
+async fn send_to_leader(state: &GatewayState, socket: &tokio::net::UdpSocket, own: &[WireTotals]) {
     let Some(leader) = state.peers.leader.borrow().clone() else {
         return;
     };
@@ -59,7 +59,7 @@
 fn usage_of(state: &GatewayState, totals: &[WireTotals]) -> WireUsage {
     WireUsage {
         daemon: name_digest(&state.peers.own().name),
-        life: state.incarnation,
+        incarnation: state.incarnation,
         totals: totals.to_vec(),
         sent_ms: Some(state.quotas.now_ms(Instant::now())),
     }
@@ -77,15 +77,15 @@
         .record_member_usage(&usage_of(state, &own), now);
     let sums = state.quotas.group_usage(now);
     let mut of_groups = Vec::new();
-    for totals in parts(&sums) {
+    for totals in datagram_chunks(&sums) {
         let usage = WireGroupUsage {
             group: state.peers.directory().group_name.clone(),
-            life: state.incarnation,
+            incarnation: state.incarnation,
             totals: totals.to_vec(),
             leader: name_digest(&state.peers.own().name),
             sent_ms: Some(state.quotas.now_ms(now)),
         };
-        tell_other_groups(state, socket, &Message::GroupUsage(usage.clone())).await;
+        send_to_other_groups(state, socket, &Message::GroupUsage(usage.clone())).await;
         state.quotas.record_group_usage(&usage, now);
         of_groups.push(usage);
     }
@@ -96,7 +96,7 @@
 }
 
 /// The parts that fit into a datagram; one without any totals says that nothing was used.
-fn parts(totals: &[WireTotals]) -> Vec<&[WireTotals]> {
+fn datagram_chunks(totals: &[WireTotals]) -> Vec<&[WireTotals]> {
     match totals.is_empty() {
         true => vec![totals],
         false => totals.chunks(MAX_TOTALS).collect(),
--- a/crates/gateway/src/peers/view.rs
+++ b/crates/gateway/src/peers/view.rs
@@ -14,12 +14,12 @@
 use driftspring_clock::Instant;
 
 /// The age of a view from which on entries may have lapsed for want of a store.
-const OUTAGE: Duration = Duration::from_millis(2500);
+const OUTAGE_AGE: Duration = Duration::from_millis(2500);
 
 /// How long after a read that showed the end of an outage replicas without an entry stay in use: the pages give
 /// them about two seconds to come back, and a reader learns of that up to 0.2 s later. With up to 0.8 s from the
 /// store's return to that read this ends as machines are in touch again (`contactMs`, 3 s).
-const KEPT_AFTER_OUTAGE: Duration = Duration::from_millis(2200);
+const RETENTION_AFTER_OUTAGE: Duration = Duration::from_millis(2200);
 
 /// How long before it is in touch again a daemon stops using replicas without an entry, for requests that are on their
 /// way: from then on it is bound to use no replica that has left.
@@ -69,11 +69,11 @@
             false => self.outage_ended_at.get()?,
         };
         let bound_from = in_touch_at?.checked_sub(MARGIN_BEFORE_CONTACT)?;
-        let until = (ended_at + KEPT_AFTER_OUTAGE).min(bound_from);
+        let until = (ended_at + RETENTION_AFTER_OUTAGE).min(bound_from);
         (until > now).then_some(until)
     }
 
     fn is_outage(&self, now: Instant) -> bool {
-        self.age(now).is_some_and(|age| age >= OUTAGE)
+        self.age(now).is_some_and(|age| age >= OUTAGE_AGE)
     }
 }
--- a/crates/gateway/src/permits/questions.rs
+++ b/crates/gateway/src/permits/questions.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{Notify, oneshot};
 
 use super::silence::PATIENCE;
-use crate::peers::message::{AskPermit, TellPermit};
+use crate::peers::message::{WirePermitQuery, WirePermitReply};
 use crate::protocol::RequestRate;
 use crate::replicas::Replica;
 use crate::state::GatewayState;
@@ -44,20 +44,20 @@
 #[derive(Debug, Default)]
 pub struct PermitQuestions {
     last_nonce: Cell<u64>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<TellPermit>>>,
-    outbox: RefCell<Vec<(AskPermit, String)>>,
+    waiting: RefCell<HashMap<u64, oneshot::Sender<WirePermitReply>>>,
+    outbox: RefCell<Vec<(WirePermitQuery, String)>>,
     /// Wakes the task that sends them.
     pub asked: Notify,
 }
 
 impl PermitQuestions {
     /// The questions to be sent, with their receivers.
-    pub fn take_outbox(&self) -> Vec<(AskPermit, String)> {
+    pub fn take_outbox(&self) -> Vec<(WirePermitQuery, String)> {
         self.outbox.take()
     }
 
     /// Takes in an answer. One that comes too late is of no use: its request has gone elsewhere.
-    pub fn answer(&self, told: TellPermit) {
+    pub fn answer(&self, told: WirePermitReply) {
         let waiting = self.waiting.borrow_mut().remove(&told.nonce);
         if let Some(waiting) = waiting {
             // Who asked may have gone.
@@ -65,7 +65,11 @@
         }
     }
 
-    fn begin(&self, question: &Question, to: &str) -> Option<(u64, oneshot::Receiver<TellPermit>)> {
+    fn begin(
+        &self,
+        question: &Question,
+        to: &str,
+    ) -> Option<(u64, oneshot::Receiver<WirePermitReply>)> {
         let mut waiting = self.waiting.borrow_mut();
         if waiting.len() >= MAX_WAITING {
             return None;
@@ -74,9 +78,9 @@
         self.last_nonce.set(nonce);
         let (sender, receiver) = oneshot::channel();
         waiting.insert(nonce, sender);
-        let ask = AskPermit {
+        let ask = WirePermitQuery {
             nonce,
-            life: question.life,
+            incarnation: question.life,
             limit_thousandths: question.rate.map(RequestRate::thousandths),
         };
         self.outbox.borrow_mut().push((ask, to.to_owned()));
--- a/crates/gateway/src/quota/shared.rs
+++ b/crates/gateway/src/quota/shared.rs
@@ -190,7 +190,7 @@
             .collect();
         let report = GroupReport {
             group,
-            leader: usage.life,
+            leader: usage.incarnation,
             sent: usage.sent_ms.map(Duration::from_millis),
         };
         for (tenant, limit) in self.limits.borrow_mut().iter_mut() {
--- a/crates/gateway/src/quota/usage.rs
+++ b/crates/gateway/src/quota/usage.rs
@@ -190,9 +190,9 @@
     /// Adds what a member used since it told last, or since the sums of another leader held what it used.
     pub fn record_member(&mut self, usage: &WireUsage, now: Duration) {
         let member = self.members.entry(usage.daemon).or_default();
-        if member.life != usage.life {
+        if member.life != usage.incarnation {
             *member = Member {
-                life: usage.life,
+                life: usage.incarnation,
                 ..Member::default()
             };
         }
--- a/crates/gateway/src/rollout/load.rs
+++ b/crates/gateway/src/rollout/load.rs
@@ -7,7 +7,7 @@
 use driftspring_telemetry::events::gateway;
 use driftspring_telemetry::log_event;
 
-use crate::peers::message::Loading;
+use crate::peers::message::LoadStatus;
 use crate::protocol::{
     LoadMethod, ModelVersion, OrderAnswer, ReplicaReport, UnreadableReason, WeightsOrder,
 };
@@ -97,7 +97,7 @@
     wanted: &ModelVersion,
     end: Option<Result<(), LoadFailure>>,
 ) {
-    state.peers.tell_loading(Loading {
+    state.peers.report_load_status(LoadStatus {
         replica: replica.id().to_owned(),
         born: replica.life.born,
         model: wanted.model.clone(),
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -243,7 +243,7 @@
     let server = HttpServer::new(async move || {
         let state = GatewayState::new(settings.clone(), Arc::clone(&platform), Arc::clone(&status));
         store::spawn_all(&state);
-        ntex::rt::spawn(peers::bound_first_word(Rc::clone(&state)));
+        ntex::rt::spawn(peers::limit_confirmation_wait(Rc::clone(&state)));
         if let Ok(socket) = peers_socket.try_clone() {
             ntex::rt::spawn(peers::run(Rc::clone(&state), socket));
         }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -262,7 +262,7 @@
                     self.has_pending_replicas.set(true);
                 }
             }
-            Change::Gone(key) => {
+            Change::Removed(key) => {
                 let known = log.get(&key).cloned();
                 log.remove(&key);
                 if let ItemKey::Replica(id) = &key {
@@ -280,7 +280,7 @@
         let told = WireReplica::from(entry);
         let is_foreign = told.born.is_none() && self.known_start_time(&told.id).is_some();
         self.apply(match is_foreign {
-            true => Change::Gone(ItemKey::Replica(told.id)),
+            true => Change::Removed(ItemKey::Replica(told.id)),
             false => Change::Put(Item::Replica(told)),
         });
     }
@@ -393,7 +393,7 @@
         if self.has_pending_replicas.replace(false) {
             self.publish_replicas();
         }
-        self.peers.nudge();
+        self.peers.announce_changes();
     }
 
     /// Rebuilds the index of the replicas, and wakes what waits for them.
--- a/crates/gateway/src/store/copied_entries.rs
+++ b/crates/gateway/src/store/copied_entries.rs
@@ -66,7 +66,7 @@
         return;
     }
     if !state.peers.is_reader.get() {
-        state.peers.learnt_elsewhere();
+        state.peers.reset_followed_log();
         return;
     }
     for entry in released {
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -109,7 +109,7 @@
         return None;
     }
     let listed = match kind {
-        ObjectKind::Replicas if !state.peers.wants_first_list().await => return None,
+        ObjectKind::Replicas if !state.peers.must_list_at_start().await => return None,
         ObjectKind::Replicas => list_recent(state, kind).await,
         ObjectKind::Weights => list_all(state, kind).await.map(|(objects, _)| objects),
         ObjectKind::Configuration
@@ -221,7 +221,7 @@
 /// Applies a complete list of replicas or gateways: those missing from it are gone, except gateways that may still have to
 /// rewrite their entries.
 pub fn apply_item_list(state: &GatewayState, kind: ObjectKind, objects: Vec<StoredObject>) {
-    state.peers.learnt_elsewhere();
+    state.peers.reset_followed_log();
     if kind == ObjectKind::Daemons {
         state.peers.note_daemons_known();
     }
@@ -243,7 +243,7 @@
         .into_iter()
         .filter(|key| is_of_kind(key) && !listed.contains(key) && !is_missing_entry_tolerated(key));
     for key in gone {
-        state.apply(Change::Gone(key));
+        state.apply(Change::Removed(key));
     }
     for object in objects {
         apply_event(state, kind, object, false);
@@ -266,7 +266,7 @@
             quarantine::apply_deletion(state, &object.name);
         }
         if let Some(key) = item_key(kind, &object.name) {
-            state.apply(Change::Gone(key));
+            state.apply(Change::Removed(key));
         }
         return;
     }
@@ -297,7 +297,7 @@
             note_unreadable(state, kind, &object);
             // Whatever entry this name had before, it is no valid replica or gateway now.
             if let Some(key) = item_key(kind, &object.name) {
-                state.apply(Change::Gone(key));
+                state.apply(Change::Removed(key));
             }
         }
     }
@@ -365,7 +365,7 @@
         .quotas
         .set_tenants(configuration.tenants(), Instant::now());
     state.configuration.store(Some(configuration.into()));
-    state.peers.nudge();
+    state.peers.announce_changes();
 }
 
 pub(super) fn note_unreadable(state: &GatewayState, kind: ObjectKind, object: &StoredObject) {
--- a/crates/gateway/src/store/follow_weights.rs
+++ b/crates/gateway/src/store/follow_weights.rs
@@ -134,7 +134,7 @@
         weights.model,
         weights.version
     );
-    state.peers.nudge();
+    state.peers.announce_changes();
     state.rollout_wanted.notify_one();
 }
 
@@ -214,6 +214,6 @@
         weights.version,
         since.is_assumed()
     );
-    state.peers.nudge();
+    state.peers.announce_changes();
     state.rollout_wanted.notify_one();
 }
--- a/crates/gateway/src/store/quarantine.rs
+++ b/crates/gateway/src/store/quarantine.rs
@@ -361,7 +361,7 @@
         .quarantine
         .merge_record(fingerprint, record, role, RecordSource::Store);
     if has_news {
-        state.peers.nudge();
+        state.peers.announce_changes();
     }
 }
 
