--- a/crates/gateway/src/quarantine/by_crash.rs
+++ b/crates/gateway/src/quarantine/by_crash.rs
@@ -1,37 +1,37 @@
-//! Which requests were open at a replica as it ended.
+//! The requests that were open at each crash of a replica.
 
 use std::collections::HashMap;
 
 use super::{Fingerprint, Strike};
 
-/// The requests with records, by the digests of the replicas that ended.
+/// The requests with records, by the digest of the crashed incarnation.
 #[derive(Debug, Default)]
 pub(super) struct RequestsByCrash(HashMap<u64, Vec<Fingerprint>>);
 
 impl RequestsByCrash {
-    /// Notes that a request was open at these ends; what is known already stays as it is.
-    pub(super) fn add(&mut self, fingerprint: Fingerprint, ends: &[Strike]) {
-        for end in ends {
-            let open = self.0.entry(end.replica).or_default();
+    /// Records that a request was open at these crashes.
+    pub(super) fn add(&mut self, fingerprint: Fingerprint, strikes: &[Strike]) {
+        for strike in strikes {
+            let open = self.0.entry(strike.replica).or_default();
             if !open.contains(&fingerprint) {
                 open.push(fingerprint);
             }
         }
     }
 
-    /// Forgets that a request was open at these ends.
-    pub(super) fn remove(&mut self, fingerprint: Fingerprint, ends: &[Strike]) {
-        for end in ends {
-            if let Some(open) = self.0.get_mut(&end.replica) {
+    /// Removes a request from these crashes.
+    pub(super) fn remove(&mut self, fingerprint: Fingerprint, strikes: &[Strike]) {
+        for strike in strikes {
+            if let Some(open) = self.0.get_mut(&strike.replica) {
                 open.retain(|known| *known != fingerprint);
                 if open.is_empty() {
-                    self.0.remove(&end.replica);
+                    self.0.remove(&strike.replica);
                 }
             }
         }
     }
 
-    /// The requests that were open at the end of a replica.
+    /// Returns the requests that were open at a crash.
     pub(super) fn requests_open_at(&self, replica: u64) -> &[Fingerprint] {
         self.0.get(&replica).map_or(&[], Vec::as_slice)
     }
--- a/crates/gateway/src/quarantine/evidence.rs
+++ b/crates/gateway/src/quarantine/evidence.rs
@@ -1,5 +1,5 @@
-//! What the ends of replicas prove against a request that was open there: which of them came together, which are the work of
-//! another request, and how many are enough.
+//! What crashes of replicas prove against a request that was open there: which crashes happened together,
+//! which ones another request explains, and how many are enough.
 
 use std::time::Duration;
 
@@ -7,36 +7,37 @@
 use super::ledger::{Ledger, Role};
 use super::record::{Record, SAME_EVENT_WINDOW, STRIKE_WEIGHT, Strike, began_after_crash};
 
-/// Strikes after which a request is quarantined. The operator allows three ends, and three more sends.
+/// The strikes after which a request is quarantined. The operator allows three crashes, and three more
+/// sends.
 pub const MAX_STRIKES: usize = 3;
 
-/// The same at a daemon that does not count for the request, and hears of few of the replicas that ended besides. It
-/// matters to one that the others can't reach.
+/// The same at a daemon that is not a home of the request and hears of few other crashes. It matters at a
+/// daemon that the others can't reach.
 const MAX_STRIKES_NON_HOME: usize = 5;
 
-/// How much more than that may be the work of a quarantined request that was open at all these ends: that one may be harmless and
-/// held by mistake, so less than one end.
+/// The excess over the limit that a quarantined request may explain if it was open at all these crashes. That
+/// request may be harmless and quarantined by mistake, so the excess is less than one crash.
 const MAX_EXPLAINED_EXCESS: usize = STRIKE_WEIGHT - 1;
 
-/// How long after the end of a replica it is known which others ended with it: within that time every daemon that was not
-/// frozen has told.
+/// The time after a crash by which all coinciding crashes are known: every daemon that is not frozen has
+/// reported by then.
 const CRASH_SETTLE_TIME: Duration = Duration::from_millis(300);
 
-/// Ends of replicas that are remembered, to know which ended together: 40 bytes each, four crashes of a seventh of 3,000
-/// replicas.
+/// The maximum number of crashes remembered to find out which ones coincide. At 40 bytes each, this covers
+/// four incidents that crash a seventh of 3,000 replicas.
 const MAX_CRASHES: usize = 2048;
 
-/// The end of a replica.
+/// The crash of a replica.
 #[derive(Debug)]
 pub(super) struct Crash {
     replica: u64,
     pub(super) at: Duration,
-    /// When it was there yet: the latest that a request which ran there began to.
+    /// When the replica was last known to run: the latest start of a request that ran there.
     last_alive_at: Option<Duration>,
 }
 
 impl Ledger {
-    /// Remembers the end of a replica.
+    /// Remembers a crash.
     pub(super) fn note_crash(&mut self, strike: Strike) {
         let last_alive_at = strike.replica_alive_at();
         let mut crashes = self.crashes.iter_mut();
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Whether other replicas ended with that of a strike, where the request was not open, by no request that is known to end
-    /// replicas.
+    /// Whether other replicas, where the request was not open, crashed together with that of a strike, and no
+    /// quarantined request explains it.
     fn is_coincident_strike(
         &self,
         fingerprint: Fingerprint,
@@ -64,13 +65,13 @@
     ) -> bool {
         let own_last_alive_at = self
             .crash_of(strike.replica)
-            .and_then(|end| end.last_alive_at);
-        let near = self.crashes.iter().filter(|end| {
-            strike.at.abs_diff(end.at) < SAME_EVENT_WINDOW && !record.has_strike_of(end.replica)
+            .and_then(|crash| crash.last_alive_at);
+        let near = self.crashes.iter().filter(|crash| {
+            strike.at.abs_diff(crash.at) < SAME_EVENT_WINDOW && !record.has_strike_of(crash.replica)
         });
         let mut has_explained_crash = false;
         for other in near {
-            if self.was_hit_by_quarantined(other.replica, fingerprint) {
+            if self.was_running_quarantined(other.replica, fingerprint) {
                 has_explained_crash = true;
             } else if !is_separate_event(strike.at, own_last_alive_at, other) {
                 return true;
@@ -80,20 +81,20 @@
     }
 
     pub(super) fn crash_of(&self, replica: u64) -> Option<&Crash> {
-        self.crashes.iter().find(|end| end.replica == replica)
+        self.crashes.iter().find(|crash| crash.replica == replica)
     }
 
-    /// Whether a quarantined request, other than `but`, was open at a replica as it ended.
-    fn was_hit_by_quarantined(&self, replica: u64, but: Fingerprint) -> bool {
+    /// Whether a quarantined request other than `except` was open at a crash.
+    fn was_running_quarantined(&self, replica: u64, except: Fingerprint) -> bool {
         let mut open_there = self.requests_by_crash.requests_open_at(replica).iter();
         open_there.any(|request| {
             let record = self.records.get(request);
-            *request != but && record.is_some_and(|record| record.is_quarantined)
+            *request != except && record.is_some_and(|record| record.is_quarantined)
         })
     }
 
-    /// Notes for good which strikes coincide with other ends, once that is known. A full record has dropped ends at which its
-    /// request was open too, and can't tell them from others.
+    /// Marks the strikes that coincide with other crashes, once that is known. A full record has dropped
+    /// strikes of its own, and can't tell these crashes from those of others.
     pub(super) fn mark_coincident(
         &self,
         fingerprint: Fingerprint,
@@ -114,8 +115,8 @@
         }
     }
 
-    /// Whether so many strikes count against a request that it is quarantined.
-    pub(super) fn exceeds_strike_limit(
+    /// Whether enough strikes count against a request to quarantine it.
+    pub(super) fn reaches_strike_limit(
         &self,
         fingerprint: Fingerprint,
         record: &Record,
@@ -132,8 +133,8 @@
             || reaches_limit && !self.is_explained_by_quarantined(fingerprint, record)
     }
 
-    /// Whether a quarantined request was open at all ends that count against this one, and at others besides. One that had run longer
-    /// there explains nothing: it rather is the one that was there by chance.
+    /// Whether a quarantined request was open at all crashes that count against this one, and at others too.
+    /// A request that ran longer there explains nothing: it is rather the one that was there by chance.
     pub(super) fn is_explained_by_quarantined(
         &self,
         fingerprint: Fingerprint,
@@ -160,8 +161,8 @@
     }
 }
 
-/// Whether another replica ended in another crash than one that ended at `at` and was there yet at `last_alive_at`: the later one
-/// began to run something after the earlier one had ended.
+/// Whether `other` is not part of the same event as a crash at `at` of a replica last known to run at
+/// `last_alive_at`: the replica that crashed later started to run a request after the earlier crash.
 fn is_separate_event(at: Duration, last_alive_at: Option<Duration>, other: &Crash) -> bool {
     let (first_at, later_last_alive_at) = match other.at < at {
         true => (other.at, last_alive_at),
--- a/crates/gateway/src/quarantine/fingerprint.rs
+++ b/crates/gateway/src/quarantine/fingerprint.rs
@@ -1,21 +1,21 @@
-//! What makes two tries the same request.
+//! Identifies all attempts of the same request.
 
 use std::fmt;
 use std::str::FromStr;
 
 use http::Method;
 
-/// The bytes of a fingerprint. Of 128 bits of a cryptographic hash no caller can find a second request with the
-/// same ones, so none can bring another caller's request into disrepute.
+/// The length of a fingerprint in bytes. With 128 bits of a cryptographic hash no caller can construct a
+/// second request with the same fingerprint, and so none can get another caller's request quarantined.
 const BYTES: usize = 16;
 
-/// A digest of a request's method, host, path, caller and body. Its id and its other headers don't count: a caller
-/// that comes again has a new id.
+/// A digest of a request's method, host, path, caller and body. Its id and its other headers are left out: a
+/// caller that retries uses a new id.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint([u8; BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of a request; `caller` is the tenant, empty where there is none.
+    /// Computes the fingerprint of a request; `caller` is the tenant, empty if there is none.
     pub fn new(method: &Method, host: &str, path: &str, caller: &str, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for field in [method.as_str(), host, path, caller] {
@@ -28,12 +28,12 @@
         Self(bytes)
     }
 
-    /// The fingerprint with this number, as daemons tell it to each other.
+    /// Converts from the number that daemons exchange.
     pub fn from_number(number: u128) -> Self {
         Self(number.to_be_bytes())
     }
 
-    /// Its number.
+    /// The fingerprint as a number.
     pub fn number(self) -> u128 {
         u128::from_be_bytes(self.0)
     }
@@ -51,9 +51,9 @@
     }
 }
 
-/// A text is no fingerprint.
+/// The text does not represent a fingerprint.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-#[error("{0:?} is no fingerprint: 32 hexadecimal digits are expected")]
+#[error("{0:?} is not a fingerprint: expected 32 hexadecimal digits")]
 pub struct InvalidFingerprint(String);
 
 impl FromStr for Fingerprint {
--- a/crates/gateway/src/quarantine/incarnations.rs
+++ b/crates/gateway/src/quarantine/incarnations.rs
@@ -1,8 +1,9 @@
-//! Which life of a replica an end is of, where it is told under the name of an earlier one.
+//! Attributes a crash reported under an earlier incarnation of its replica to the right one.
 //!
-//! A daemon names the end of a replica after the life that it knows. One that has not heard yet that the replica started again under
-//! its id sends requests to the new life, and names its end after the one before. Those that know of the end before see that
-//! the run began after it, and name it after the next life, as soon as they have heard of that one.
+//! A daemon names a crash after the incarnation that it knows. If it has not heard yet that the replica
+//! restarted under its id, it sends requests to the new incarnation and attributes its crash to the previous
+//! one. Daemons that know of the previous crash see that the run started after it, and attribute the crash to
+//! the next incarnation as soon as they have heard of that one.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -10,47 +11,47 @@
 use super::ledger::Role;
 use super::{Fingerprint, Strike};
 
-/// How long after the end of a replica a run must have begun that is taken for one of its next life. News of ends are under way for up
-/// to 0.3 s, so an earlier run may seem to have begun that late; replicas that start again were away for half a second at the
-/// least.
+/// How long after a crash a run must have started to belong to the next incarnation. Reports of crashes are
+/// delayed by up to 0.3 s, so an earlier run may seem to have started that late; replicas that restarted were
+/// down for at least half a second.
 pub(super) const MIN_RESTART_TIME: Duration = Duration::from_millis(400);
 
-/// Lives of which it is remembered which came next: as many as there are ends that are remembered.
+/// The number of incarnations whose successors are remembered: as many as there are remembered crashes.
 const MAX_INCARNATIONS: usize = 2048;
 
-/// Strikes that wait until it is known which life they are of, for the tens of milliseconds that news of it need: a replica runs some
-/// dozen requests at once, and few start again at one moment.
+/// The maximum number of strikes that wait until their incarnation is known, which takes tens of
+/// milliseconds. A replica runs some dozen requests at once, and few restart at the same moment.
 const MAX_PENDING_STRIKES: usize = 256;
 
-/// What followed a life.
+/// What followed an incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Successor {
-    /// Another life under the same id.
+    /// Another incarnation under the same id.
     Incarnation(u64),
-    /// None: its entry is gone. What runs at its address by now has another id.
+    /// Nothing: the entry is gone. What runs at its address now has another id.
     Removed,
 }
 
-/// A strike whose life is not known yet.
+/// A strike whose incarnation is not known yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct PendingStrike {
     pub(super) fingerprint: Fingerprint,
-    /// Under the name of a life that had ended before.
+    /// The strike, under an incarnation that had crashed before.
     pub(super) strike: Strike,
     pub(super) role: Role,
 }
 
-/// The lives of replicas, by their digests.
+/// The successors of replica incarnations, by digest.
 #[derive(Debug, Default)]
 pub(super) struct Incarnations {
     successors: HashMap<u64, Successor>,
-    /// Those in `successors`, the ones heard of last at the end.
+    /// The keys of `successors` in order of insertion.
     insertion_order: VecDeque<u64>,
     pending: VecDeque<PendingStrike>,
 }
 
 impl Incarnations {
-    /// Takes in what followed a life; the strikes that waited for that.
+    /// Records what followed an incarnation; returns the strikes that waited for it.
     pub(super) fn note_successor(
         &mut self,
         before: u64,
@@ -71,12 +72,12 @@
         Vec::from(named)
     }
 
-    /// What followed this life, where it was heard of.
+    /// What followed this incarnation, if known.
     pub(super) fn successor(&self, incarnation: u64) -> Option<Successor> {
         self.successors.get(&incarnation).copied()
     }
 
-    /// Keeps a strike until its life is heard of; the oldest ones are dropped where too many wait.
+    /// Keeps a strike until its incarnation is known; the oldest is dropped if too many wait.
     pub(super) fn defer(&mut self, pending: PendingStrike) {
         self.pending.push_back(pending);
         if self.pending.len() > MAX_PENDING_STRIKES {
--- a/crates/gateway/src/quarantine/ledger.rs
+++ b/crates/gateway/src/quarantine/ledger.rs
@@ -1,21 +1,23 @@
-//! What is known of requests that were open at replicas as these ended.
+//! The records of requests that were open at replicas when these crashed.
 //!
-//! A replica that ends takes all that it ran with it, so one end proves nothing: it is a *strike* against each request
-//! that was open there. A request with three strikes is quarantined: no replica gets it any more. An ordinary request
-//! does not come so far:
+//! A crash loses everything that ran at the replica, so one crash proves nothing: it is a *strike* against
+//! each request that was open there. A request with three strikes is quarantined: it is sent to no replica
+//! any more. An ordinary request does not get that far:
 //!
-//! - An answer that came whole clears it, since its replica has survived it. A request that many callers send is open at many
-//!   replicas at once, and ends well at some all the time.
-//! - Replicas that end together count as two at the most, and as half of one if the request was not open at all of them: a crash
-//!   of many is not the work of one request. Half of one still counts, since two such requests may come at the same moment.
-//! - What a quarantined request has ended does not count against others that were open at some of these ends, but at no other
-//!   one. Where others were open at the same ends none explains the other: all are quarantined, and tried apart
-//!   ([`super::isolated_trials`]).
+//! - A completed answer clears it, since its replica has survived it. A request that many callers send is
+//!   open at many replicas at once, and keeps completing at some of them.
+//! - Replicas that crash together count as two at most, and as half of one if the request was not open at all
+//!   of them: a crash of many replicas is not the work of one request. Half of one still counts, since two
+//!   requests that crash replicas may arrive at the same moment.
+//! - Crashes caused by a quarantined request do not count against others that were open at some of them and
+//!   at no other crash. If others were open at the same crashes, none explains the other: all are
+//!   quarantined, and tried in isolation ([`super::isolated_trials`]).
 //!
-//! Daemons tell each other their records. Two records of one request merge into the same one, in whatever order and
-//! however often they are told: a clearing begins a new generation, which beats the earlier ones.
+//! Daemons exchange their records. Two records of one request merge into the same result, in whatever order
+//! and however often they arrive: clearing a request starts a new generation, which supersedes the earlier
+//! ones.
 //!
-//! A record with one strike is known only to the daemons that count for its request, and to those that lost an answer.
+//! A record with one strike is known only to the request's home daemons and to those that lost an answer.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -27,40 +29,40 @@
 use super::record::{Record, Stored, Strike};
 use crate::store::StorePosition;
 
-/// For how long after the last strike answers that come whole are looked at whether they clear a request that only
-/// its home and this daemon know of. Nothing is hashed after that.
+/// How long after the last strike a completed answer is checked for whether it clears a request that only
+/// this daemon and the home daemons know of. After that no request is hashed.
 const CLEARING_WINDOW: Duration = Duration::from_secs(60);
 
-/// Forgotten records that are remembered, about 100 bytes each: more than are forgotten in the seconds by which a copy of
-/// the store is old, since each was struck by two ends of replicas.
+/// The maximum number of forgotten records remembered, about 100 bytes each. This is more than are forgotten
+/// during the seconds by which a store backup is out of date, since each record had strikes from two crashes.
 const MAX_FORGOTTEN: usize = 256;
 
-/// Records that are kept, about 100 bytes each; quarantined ones go last.
+/// The maximum number of records, about 100 bytes each; quarantined ones are evicted last.
 const MAX_RECORDS: usize = 2048;
 
-/// What is to be done with a request.
+/// How to treat a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is a request like any other.
+    /// Send it like any other request.
     Clear,
-    /// One more end, and it is quarantined: it is not sent a second time within one try.
+    /// One more strike quarantines it: send it only once per attempt of the caller.
     Suspicious,
-    /// It goes to no replica.
+    /// Send it to no replica.
     Quarantined,
-    /// It is in quarantine, and due to be tried.
+    /// It is quarantined, and due for a trial.
     TrialDue,
-    /// The same, apart from those that were open at the same ends, since this moment.
+    /// It is quarantined, and due since this time for a trial in isolation from those with the same crashes.
     IsolatedTrialDue(Duration),
 }
 
-/// What a change of a record means for others.
+/// What a change of a record means for other daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordUpdate {
-    /// It is of no interest to all.
+    /// It does not concern all daemons.
     NotShared,
-    /// Every daemon is to know it.
+    /// Every daemon has to know it.
     Shared,
-    /// The same; and this daemon has just found that it is to be quarantined.
+    /// Every daemon has to know it, and this daemon has just decided to quarantine the request.
     Quarantined,
 }
 
@@ -69,45 +71,46 @@
 pub struct Ledger {
     pub(super) records: HashMap<Fingerprint, Record>,
     pub(super) requests_by_crash: RequestsByCrash,
-    /// Those that all daemons are to know, with the digests of their records.
+    /// The records that all daemons have to know, with their digests.
     shared: HashMap<Fingerprint, u64>,
-    /// The sum of these digests.
+    /// The sum of the digests in `shared`.
     digest: u64,
-    /// Those in quarantine that were tried apart.
+    /// Quarantined requests that were tried in isolation.
     tried_in_isolation: HashSet<Fingerprint>,
-    /// Those with which requests are compared before they are sent, and when they end well.
+    /// Requests to look up before a request is sent and when an answer completes.
     suspects: HashSet<Fingerprint>,
     last_strike_at: Option<Duration>,
-    /// When the last replica ended, as far as any record tells.
+    /// When a replica last crashed, according to the records.
     last_crash_at: Option<Duration>,
-    /// Replicas that ended, those told of last at the end.
+    /// Crashes of replicas in order of arrival.
     pub(super) crashes: VecDeque<Crash>,
     incarnations: Incarnations,
-    /// Those that were forgotten lately though the store kept them, with the replicas that their strikes named.
+    /// Records that were forgotten recently although the store kept them, with the replicas of their strikes.
     forgotten: VecDeque<(Fingerprint, Vec<u64>)>,
 }
 
 /// How a daemon judges a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It counts for the request: strikes of all daemons come to it.
+    /// It is a home daemon of the request: all daemons report strikes to it.
     Home,
-    /// It does not.
+    /// It is not.
     Other,
 }
 
-/// What was cleared.
+/// The result of clearing a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cleared {
-    /// Its record before.
+    /// The previous record.
     pub before: Record,
-    /// Whether every daemon is to know it; else those that count for the request.
+    /// Whether every daemon has to know it; otherwise only the home daemons do.
     pub is_shared: bool,
 }
 
 impl Ledger {
-    /// Takes in that a replica has ended while the request was open there. Where the run began after the end of the life that is
-    /// named, it is the end of a later one: it counts as that one's, as soon as that is known.
+    /// Records that a replica crashed while the request was open there. If the run started after the crash of
+    /// the named incarnation, the strike belongs to a later incarnation, and counts as soon as that one is
+    /// known.
     pub fn strike(
         &mut self,
         fingerprint: Fingerprint,
@@ -119,7 +122,7 @@
             Ok(strike) => self.apply_strike(fingerprint, strike, role, now),
             Err(strike) => {
                 log::info!(
-                    "an end is of a life after {:016x} that was not heard of yet: fingerprint={fingerprint}",
+                    "deferring a strike: its replica restarted after incarnation {:016x}, and the next one is not known yet: fingerprint={fingerprint}",
                     strike.replica
                 );
                 self.incarnations.defer(PendingStrike {
@@ -132,8 +135,8 @@
         }
     }
 
-    /// Takes in that a replica has started again under its id: the life `after` follows `before`. What that means for
-    /// requests whose strikes waited for it.
+    /// Records that a replica has restarted under its id: incarnation `after` follows `before`. Returns the
+    /// updates of requests whose strikes waited for it.
     pub fn note_next_incarnation(
         &mut self,
         before: u64,
@@ -143,14 +146,14 @@
         self.note_successor(before, Successor::Incarnation(after), now)
     }
 
-    /// Takes in that the entry of a life is gone. What that means for requests whose strikes waited for its next life: they
-    /// count under the name that was told.
+    /// Records that the entry of an incarnation is gone. Returns the updates of requests whose strikes waited
+    /// for its successor; these strikes count under the incarnation that was reported.
     pub fn note_removed_incarnation(
         &mut self,
-        life: u64,
+        incarnation: u64,
         now: Duration,
     ) -> Vec<(Fingerprint, RecordUpdate)> {
-        self.note_successor(life, Successor::Removed, now)
+        self.note_successor(incarnation, Successor::Removed, now)
     }
 
     fn note_successor(
@@ -159,17 +162,17 @@
         next: Successor,
         now: Duration,
     ) -> Vec<(Fingerprint, RecordUpdate)> {
-        let named = self.incarnations.note_successor(before, next).into_iter();
-        let struck = named.map(|waiting| {
-            let fingerprint = waiting.fingerprint;
-            let news = self.strike(fingerprint, waiting.strike, waiting.role, now);
-            (fingerprint, news)
+        let attributed = self.incarnations.note_successor(before, next).into_iter();
+        let updates = attributed.map(|pending| {
+            let fingerprint = pending.fingerprint;
+            let update = self.strike(fingerprint, pending.strike, pending.role, now);
+            (fingerprint, update)
         });
-        struck.collect()
+        updates.collect()
     }
 
-    /// The strike under the name of the life that it is of; an error where that one was not heard of yet, with the latest one that
-    /// was.
+    /// Attributes a strike to the right incarnation. The error is the strike under the latest known
+    /// incarnation, if the right one is not known yet.
     fn attribute_to_incarnation(&self, mut strike: Strike) -> Result<Strike, Strike> {
         while self.is_of_later_incarnation(&strike) {
             match self.incarnations.successor(strike.replica) {
@@ -181,13 +184,13 @@
         Ok(strike)
     }
 
-    /// Whether the run of a strike began after the life that it names had ended.
+    /// Whether the run of a strike started after the crash of the incarnation that it names.
     fn is_of_later_incarnation(&self, strike: &Strike) -> bool {
-        let ended_at = self.crash_of(strike.replica).map(|end| end.at);
+        let crashed_at = self.crash_of(strike.replica).map(|crash| crash.at);
         let alive_at = strike.replica_alive_at();
-        ended_at
+        crashed_at
             .zip(alive_at)
-            .is_some_and(|(ended_at, alive_at)| alive_at > ended_at + MIN_RESTART_TIME)
+            .is_some_and(|(crashed_at, alive_at)| alive_at > crashed_at + MIN_RESTART_TIME)
     }
 
     fn apply_strike(
@@ -200,19 +203,19 @@
         self.last_strike_at = self.last_strike_at.max(Some(strike.at));
         self.note_crash(strike);
         let known = self.records.get(&fingerprint);
-        let shared = Record {
+        let reported = Record {
             generation: known.map_or(0, |known| known.generation),
             strikes: vec![strike],
             ..Record::default()
         };
-        self.merge(fingerprint, shared, role, now)
+        self.merge(fingerprint, reported, role, now)
     }
 
-    /// Takes in what another daemon, or the store, says of a request.
+    /// Merges a record from another daemon or from the store.
     pub fn merge(
         &mut self,
         fingerprint: Fingerprint,
-        shared: Record,
+        reported: Record,
         role: Role,
         now: Duration,
     ) -> RecordUpdate {
@@ -220,12 +223,12 @@
         let before = self.records.get(&fingerprint).cloned();
         let before = before.unwrap_or_default();
         let mut record = before.clone();
-        record.merge(shared);
+        record.merge(reported);
         let last = record.strikes.last().map(|strike| strike.at);
         self.last_crash_at = self.last_crash_at.max(last);
         self.mark_coincident(fingerprint, &mut record, now);
         let is_newly_quarantined =
-            !record.is_quarantined && self.exceeds_strike_limit(fingerprint, &record, role);
+            !record.is_quarantined && self.reaches_strike_limit(fingerprint, &record, role);
         record.is_quarantined |= is_newly_quarantined;
         let has_changed = record != before;
         let is_shared = record.is_shared() || before.is_shared();
@@ -237,14 +240,14 @@
         }
     }
 
-    /// Takes in that an answer to the request came whole; nothing where nothing was held against it.
+    /// Records that an answer to the request completed; returns `None` if nothing counted against it.
     pub fn clear(&mut self, fingerprint: Fingerprint, now: Duration) -> Option<Cleared> {
         let record = self.records.get_mut(&fingerprint)?;
         record.completions = record.completions.saturating_add(1);
         self.release(fingerprint, now)
     }
 
-    /// Takes in that an operator has released the request; nothing where nothing was held against it.
+    /// Records that an operator released the request; returns `None` if nothing counted against it.
     pub fn release(&mut self, fingerprint: Fingerprint, now: Duration) -> Option<Cleared> {
         let before = self.records.get(&fingerprint)?.clone();
         if before.strikes.is_empty() && !before.is_quarantined {
@@ -261,7 +264,7 @@
         Some(Cleared { before, is_shared })
     }
 
-    /// What is to be done with the request at `now`.
+    /// Decides how to treat the request at `now`.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Duration) -> Verdict {
         match self.records.get(&fingerprint) {
             Some(record) if record.is_quarantined => {
@@ -282,7 +285,7 @@
         }
     }
 
-    /// Takes in that the request is tried in quarantine.
+    /// Counts a trial of the quarantined request.
     pub fn begin_trial(&mut self, fingerprint: Fingerprint) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.trials += 1;
@@ -290,7 +293,7 @@
         self.update_indexes(fingerprint);
     }
 
-    /// Takes in that the request is tried apart.
+    /// Counts an isolated trial of the quarantined request.
     pub fn begin_isolated_trial(&mut self, fingerprint: Fingerprint, now: Duration) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.isolated_trials += 1;
@@ -299,47 +302,48 @@
         self.update_indexes(fingerprint);
     }
 
-    /// Takes in how the store keeps the record.
+    /// Records how the store keeps the record.
     pub fn note_stored(&mut self, fingerprint: Fingerprint, stored: Stored) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.stored = record.stored.max(stored);
         }
     }
 
-    /// The record of a request.
+    /// Returns the record of a request, if there is one.
     pub fn get(&self, fingerprint: Fingerprint) -> Option<&Record> {
         self.records.get(&fingerprint)
     }
 
-    /// Every record that all daemons are to know.
+    /// The records that all daemons have to know.
     pub fn shared_records(&self) -> impl Iterator<Item = (Fingerprint, &Record)> {
         let shared = self.shared.keys();
         shared.filter_map(|fingerprint| Some((*fingerprint, self.records.get(fingerprint)?)))
     }
 
-    /// A digest of [`Ledger::shared_records`]: two daemons with the same one know the same.
+    /// A digest of [`Ledger::shared_records`]: two daemons with equal digests have the same records.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Those that are quarantined.
+    /// The quarantined requests.
     pub fn quarantined(&self) -> impl Iterator<Item = (Fingerprint, &Record)> {
         let known = self.shared_records();
         known.filter(|(_, record)| record.is_quarantined)
     }
 
-    /// Whether a request must be looked up before it is sent: some were open at more than one replica that ended.
+    /// Whether requests must be looked up before they are sent, since some were open at more than one crash.
     pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
-    /// Whether an answer that came whole at `now` may clear a request.
+    /// Whether an answer completed at `now` may clear a request.
     pub fn may_clear(&self, now: Duration) -> bool {
         let is_lately = |at: Duration| now.saturating_sub(at) < CLEARING_WINDOW;
         self.last_strike_at.is_some_and(is_lately) || self.has_suspects()
     }
 
-    /// Forgets strikes that count no more; those forgotten that the store keeps, with where they are.
+    /// Forgets strikes that have expired; returns the forgotten records that the store keeps, with their
+    /// positions.
     pub fn forget_old(&mut self, now: Duration) -> Vec<(Fingerprint, StorePosition)> {
         let records = self.records.iter();
         let old = records.filter(|(_, record)| !record.is_quarantined && !record.is_recent(now));
@@ -366,8 +370,8 @@
         }
     }
 
-    /// Whether a record that names these replicas was forgotten lately, so that an object that says so is one which came
-    /// back with a copy of the store.
+    /// Whether a record with these replicas was forgotten recently, so that a stored object with them came
+    /// back with a restored backup of the store.
     pub fn has_forgotten(&self, fingerprint: Fingerprint, replicas: &[u64]) -> bool {
         let mut forgotten = self.forgotten.iter();
         forgotten.any(|(known, known_replicas)| {
@@ -378,11 +382,11 @@
         })
     }
 
-    /// The quarantined requests that were open at some of the ends that count against this one.
+    /// The quarantined requests that were open at some of the crashes that count against this one.
     pub(super) fn rivals(&self, fingerprint: Fingerprint) -> Vec<(Fingerprint, &Record)> {
-        let crashes = self.records.get(&fingerprint).into_iter();
-        let crashes = crashes.flat_map(|record| &record.strikes);
-        let mut rivals: Vec<Fingerprint> = crashes
+        let strikes = self.records.get(&fingerprint).into_iter();
+        let strikes = strikes.flat_map(|record| &record.strikes);
+        let mut rivals: Vec<Fingerprint> = strikes
             .flat_map(|strike| self.requests_by_crash.requests_open_at(strike.replica))
             .filter(|other| **other != fingerprint)
             .copied()
@@ -396,7 +400,7 @@
             .collect()
     }
 
-    /// Those in quarantine that were tried apart, another one than `fingerprint`.
+    /// Quarantined requests other than `fingerprint` that were tried in isolation.
     pub(super) fn isolated_trials_of_others(
         &self,
         fingerprint: Fingerprint,
@@ -406,35 +410,36 @@
         others.filter_map(|other| self.records.get(other))
     }
 
-    /// When the last replica ended that this daemon knows of.
+    /// When a replica last crashed, as far as this daemon knows.
     pub(super) fn last_crash_at(&self) -> Option<Duration> {
         self.last_crash_at
     }
 
-    /// Puts a record in the place of the one before, which it gives back; nothing takes it away.
+    /// Inserts a record, or removes it if `record` is `None`; returns the previous one.
     fn replace(&mut self, fingerprint: Fingerprint, record: Option<Record>) -> Option<Record> {
-        let crashes: &[Strike] = record.as_ref().map_or(&[], |record| &record.strikes);
-        self.requests_by_crash.add(fingerprint, crashes);
+        let strikes: &[Strike] = record.as_ref().map_or(&[], |record| &record.strikes);
+        self.requests_by_crash.add(fingerprint, strikes);
         let before = match record {
             Some(record) => self.records.insert(fingerprint, record),
             None => self.records.remove(&fingerprint),
         };
         let after = self.records.get(&fingerprint);
-        let is_gone = |end: &&Strike| !after.is_some_and(|after| after.has_strike_of(end.replica));
-        let gone = before.iter().flat_map(|before| &before.strikes);
-        let gone: Vec<Strike> = gone.filter(is_gone).copied().collect();
-        self.requests_by_crash.remove(fingerprint, &gone);
+        let is_dropped =
+            |strike: &&Strike| !after.is_some_and(|after| after.has_strike_of(strike.replica));
+        let dropped = before.iter().flat_map(|before| &before.strikes);
+        let dropped: Vec<Strike> = dropped.filter(is_dropped).copied().collect();
+        self.requests_by_crash.remove(fingerprint, &dropped);
         self.update_indexes(fingerprint);
         before
     }
 
-    /// Puts a request among those that all are to know and those that are suspects, or takes it out.
+    /// Adds a request to the indexes of shared records and suspects, or removes it.
     fn update_indexes(&mut self, fingerprint: Fingerprint) {
         let record = self.records.get(&fingerprint);
         let shared = record.filter(|record| record.is_shared());
         let digest = shared.map(|record| record.digest(fingerprint));
         let is_suspect = record.is_some_and(Record::needs_lookup);
-        let is_tried_apart =
+        let is_tried_in_isolation =
             record.is_some_and(|record| record.is_quarantined && record.isolated_trials > 0);
         let before = match digest {
             Some(digest) => self.shared.insert(fingerprint, digest),
@@ -448,14 +453,14 @@
             true => self.suspects.insert(fingerprint),
             false => self.suspects.remove(&fingerprint),
         };
-        match is_tried_apart {
+        match is_tried_in_isolation {
             true => self.tried_in_isolation.insert(fingerprint),
             false => self.tried_in_isolation.remove(&fingerprint),
         };
     }
 
-    /// Drops the record that matters least where there are too many: the oldest one that is not quarantined, else the
-    /// oldest one.
+    /// Drops the least important record if there are too many: the oldest that is not quarantined, otherwise
+    /// the oldest.
     fn evict_if_full(&mut self, fingerprint: Fingerprint) {
         if self.records.len() < MAX_RECORDS || self.records.contains_key(&fingerprint) {
             return;
--- a/crates/gateway/src/quarantine/lost_answers.rs
+++ b/crates/gateway/src/quarantine/lost_answers.rs
@@ -1,7 +1,8 @@
-//! Finds out whether a replica has ended or only broke off an answer.
+//! Finds out whether a replica has crashed or only broke off an answer.
 //!
-//! An answer that breaks off says little: replicas reset connections and spoil answers, links fail, machines of ours
-//! stand still. A process that has ended shows at its address: nobody listens there, and the connection is refused.
+//! A broken answer proves little: replicas reset connections and corrupt answers, links fail, and gateway
+//! machines freeze. A crashed process shows at its address: nothing listens there, and the connection is
+//! refused.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,18 +18,19 @@
 use crate::state::GatewayState;
 use crate::upstream::is_refused;
 
-/// How long losses at one replica are gathered before its address is tried. When a replica ended, its connections
-/// broke off within 2 ms of each other at seven gateways (logs of an incident); a replica is back after seconds.
+/// How long lost answers of one replica are gathered before its address is probed. When a replica crashed,
+/// its connections broke within 2 ms of each other at seven gateways (logs of an incident); a replica takes
+/// seconds to restart.
 const GATHER_WINDOW: Duration = Duration::from_millis(5);
 
-/// Losses at one replica that are remembered until its address was tried; a replica serves fewer requests of one
-/// gateway at once.
+/// The maximum number of lost answers remembered per replica until its address has been probed; a replica
+/// serves fewer requests of one gateway at once.
 const MAX_LOST_ANSWERS: usize = 256;
 
-/// Fingerprints that a log line names.
+/// The maximum number of fingerprints in a log line.
 const MAX_LOGGED: usize = 24;
 
-/// Answers that broke off, by replica, until it is known whether the replica has ended.
+/// Lost answers by replica, until it is known whether the replica has crashed.
 #[derive(Debug, Default)]
 pub struct LostAnswers(RefCell<HashMap<ReplicaIncarnation, Vec<LostAnswer>>>);
 
@@ -41,7 +43,7 @@
 }
 
 impl LostAnswers {
-    /// Adds a loss; true where it is the first one at this replica.
+    /// Adds a lost answer; returns whether it is the first one of this replica.
     fn add(&self, replica: &ReplicaIncarnation, lost_answer: LostAnswer) -> bool {
         let mut by_replica = self.0.borrow_mut();
         let lost_answers = by_replica.entry(replica.clone()).or_default();
@@ -56,8 +58,9 @@
     }
 }
 
-/// Takes in that an answer of `replica` to the request with this fingerprint was lost, which had been there for `ran`, and
-/// finds out whether the replica has ended. One that is leaving may end: that is no crash.
+/// Records that the answer of `replica` to the request with this fingerprint was lost after `ran`, and starts
+/// to find out whether the replica has crashed. A replica that is leaving may end its process: that is no
+/// crash.
 pub fn note_lost_answer(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
@@ -74,7 +77,7 @@
         .lost_answers
         .add(&replica.life, lost_answer)
     {
-        // Before the request is sent to another replica, which may end too.
+        // Taken before the request is sent to another replica, which may crash too.
         let ended_at = state.quarantine.now();
         let check = check_for_crash(Rc::clone(state), Rc::clone(replica), ended_at);
         ntex::rt::spawn(check);
@@ -84,10 +87,10 @@
 async fn check_for_crash(state: Rc<GatewayState>, replica: Rc<Replica>, ended_at: Duration) {
     tokio::time::sleep(GATHER_WINDOW).await;
     let is_refused = is_refused(replica.pool.peer()).await;
-    // A daemon that stood still as the replica ended may find the next one at its address.
-    let has_strike_of = is_refused || state.registry.is_replaced(&replica);
+    // A daemon whose process stood still during the crash may find the next incarnation at the address.
+    let has_crashed = is_refused || state.registry.is_replaced(&replica);
     let lost = state.quarantine.lost_answers.take(&replica.life);
-    if !has_strike_of {
+    if !has_crashed {
         return;
     }
     state.status.metrics.replicas_ended.inc();
@@ -102,8 +105,8 @@
     );
     let directory = state.peers.directory();
     for LostAnswer { fingerprint, ran } in lost {
-        // Where the next life is there the request may have run at either, and only have broken off at that one: the time
-        // of its begin would name the one that lives.
+        // If the next incarnation is already there, the request may have run at either and only have broken
+        // off at that one; with the start time, the strike would count against the incarnation that is alive.
         let began_at = is_refused.then(|| ended_at.saturating_sub(ran));
         let strike = Strike {
             replica: replica.life_hash,
@@ -116,7 +119,7 @@
     }
 }
 
-/// The fingerprints that a log line names.
+/// The fingerprints to name in a log line.
 fn logged_fingerprints(lost: &[LostAnswer]) -> Vec<Fingerprint> {
     let named = lost.iter().take(MAX_LOGGED);
     named.map(|lost_answer| lost_answer.fingerprint).collect()
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -1,20 +1,21 @@
-//! Requests that end the replicas that run them.
+//! Quarantine of requests that crash the replicas that run them.
 //!
-//! A request that crashes its replica takes all with it that the replica ran, comes again, and is sent to the next one. So what it
-//! did outlives its try and its daemon: each end of a replica counts against the requests that were open there, and one
-//! against which three count is sent no more, by any daemon.
+//! When a request crashes its replica, everything else that ran there is lost too; the caller retries, and
+//! the request is sent to the next replica. Its effects therefore have to be remembered across attempts and
+//! daemons: each crash of a replica counts as a strike against the requests that were open there, and no
+//! daemon sends a request that has three strikes.
 //!
-//! - [`fingerprint`]: what makes two tries the same request.
-//! - [`lost_answers`]: whether a replica has ended, or only broke off an answer.
+//! - [`fingerprint`]: identifies all attempts of one request.
+//! - [`lost_answers`]: finds out whether a replica has crashed or only broke off an answer.
 //! - [`record`]: what is known of one request.
-//! - [`ledger`]: what is known of all; the decision.
-//! - `incarnations`: which life an end is of, where it is told under the name of an earlier one.
-//! - `evidence`: what ends prove against a request.
-//! - [`isolated_trials`]: when one is tried apart from those that were open at the same ends.
-//! - [`homes`]: which daemons count for a request.
-//! - [`shared`]: the records of this daemon, and what it has to tell.
+//! - [`ledger`]: the records of all requests, and the decision.
+//! - `incarnations`: attributes a crash reported under an earlier incarnation of its replica.
+//! - `evidence`: what crashes prove against a request.
+//! - [`isolated_trials`]: when a request is tried while those with the same crashes are held back.
+//! - [`homes`]: which daemons count strikes for a request.
+//! - [`shared`]: the records of this daemon, and what it has to announce.
 //!
-//! How daemons tell each other lies in [`crate::peers`], how the store keeps it in [`crate::store`].
+//! The exchange between daemons is in [`crate::peers`], storage in [`crate::store`].
 
 mod by_crash;
 mod evidence;
--- a/crates/gateway/src/quarantine/record.rs
+++ b/crates/gateway/src/quarantine/record.rs
@@ -1,103 +1,105 @@
-//! What is known of one request that was open at replicas as these ended.
+//! What is known of one request that was open at replicas when these crashed.
 
 use std::time::Duration;
 
 use super::Fingerprint;
 use crate::store::{StoreEra, StorePosition};
 
-/// Strikes from which on a request is suspicious, and every daemon knows of it.
+/// The number of strikes from which a request is suspicious and every daemon knows of it.
 pub(super) const SUSPICIOUS_STRIKES: usize = 2;
 
-/// What a strike weighs, so that half of one is a whole number.
+/// The weight of a strike, chosen so that half a strike is an integer.
 pub(super) const STRIKE_WEIGHT: usize = 2;
 
-/// The most that replicas weigh which end together: so many of one request end also when its caller sends several at
-/// once, and a crash of many, in which a request was open at each, is no proof against it.
+/// The maximum weight of replicas that crash together. One request causes that many crashes when its caller
+/// sends several copies at once, while a crash of many replicas at which a request was open is no proof
+/// against it.
 const MAX_EVENT_WEIGHT: usize = 2 * STRIKE_WEIGHT;
 
-/// Replicas that end within this time end together. When 15 in 100 crash at once their connections break off
+/// Replicas that crash within this time crash together. When 15 in 100 crash at once, their connections break
 /// within some ten milliseconds at all daemons (logs of an incident: 2 ms).
 pub(super) const SAME_EVENT_WINDOW: Duration = Duration::from_millis(100);
 
-/// How much earlier than the end of a replica a run at the next one may seem to have begun which in truth began after it: ages
-/// are told in whole milliseconds, and a datagram between daemons takes a few.
+/// How much earlier than a crash a run at the next replica may seem to have started although it started
+/// later: ages are sent in whole milliseconds, and a datagram between daemons takes a few.
 const TIMING_TOLERANCE: Duration = Duration::from_millis(10);
 
-/// The shortest run that shows that its replica was there as it began. The connections to one that ends break off within 2 ms
-/// (logs of an incident).
+/// The shortest run that proves that its replica was alive when it started. The connections to a crashing
+/// replica break within 2 ms (logs of an incident).
 const MIN_RUN: Duration = Duration::from_millis(15);
 
-/// How long a strike counts. Requests that come again more seldom than that end a replica now and then.
+/// How long a strike counts. A request that returns less often than that crashes a replica only now and then.
 const STRIKE_RETENTION: Duration = Duration::from_secs(15 * 60);
 
-/// How long a request stays in quarantine before one daemon tries it again, in case that the replicas were mended;
-/// after each such trial that ends a replica twice as long.
+/// How long a request stays in quarantine before one daemon tries it again, in case the replicas were fixed;
+/// the delay doubles with each such trial that crashes a replica.
 const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(3600);
 
-/// Trials; then only an operator can release it. With them it ends two replicas beside the first three, where three are
-/// allowed.
+/// The maximum number of such trials; after that only an operator can release the request. The trials cost
+/// two crashes in addition to the first three, where three are allowed.
 const MAX_TRIALS: u32 = 2;
 
-/// Strikes of one request that are kept.
+/// The maximum number of strikes kept per request.
 const MAX_RECORDED_STRIKES: usize = 6;
 
-/// One strike.
+/// A crash that counts against a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Strike {
-    /// The digest of the id of the replica's life.
+    /// The digest of the id of the replica's incarnation.
     pub replica: u64,
-    /// When it ended.
+    /// When it crashed.
     pub at: Duration,
-    /// Whether others ended at the same time where the request was not open.
+    /// Whether other replicas crashed at the same time where the request was not open.
     pub is_coincident: bool,
-    /// When the request had begun to run there, the earliest of its runs; nothing where that is not known.
+    /// When the request's earliest run there started, if known.
     pub began_at: Option<Duration>,
 }
 
 /// How the store keeps a record.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Stored {
-    /// Where its object was last changed; none where there is none.
+    /// Where its object was last changed; `None` if there is no object.
     pub position: Option<StorePosition>,
-    /// Whether it says that the request is quarantined.
+    /// Whether the object says that the request is quarantined.
     pub is_quarantined: bool,
-    /// How often it says that the request was tried apart.
+    /// The number of isolated trials in the object.
     pub isolated_trials: u32,
 }
 
 /// What is known of one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Record {
-    /// How often it was cleared or released; strikes of earlier generations are void.
+    /// How often the request was cleared or released; strikes of earlier generations are void.
     pub generation: u32,
-    /// Its strikes, each replica once, in the order of time.
+    /// The strikes in order of time, at most one per replica.
     pub strikes: Vec<Strike>,
-    /// Whether it is quarantined.
+    /// Whether no replica may run the request.
     pub is_quarantined: bool,
-    /// How often it was tried in quarantine.
+    /// How often it was tried in quarantine after a long time.
     pub trials: u32,
-    /// How the store keeps this generation of it.
+    /// How the store keeps this generation of the record.
     pub stored: Stored,
     /// When it was last cleared.
     pub cleared_at: Duration,
-    /// Answers that came whole since its first strike, in all generations, as far as this daemon was told.
+    /// Answers completed since its first strike, in all generations, as far as this daemon knows.
     pub completions: u32,
-    /// How often it was tried apart from the requests that were open at the same ends, in this generation.
+    /// How often it was tried in isolation from the requests that were open at the same crashes, in this
+    /// generation.
     pub isolated_trials: u32,
-    /// When that was last begun.
+    /// When the last isolated trial started.
     pub isolated_trial_at: Duration,
 }
 
 impl Record {
-    /// Whether a store of `era` is to keep it otherwise than it does, as far as is known: one that came back from a copy
-    /// may have lost it.
+    /// Whether a store of `era` has to be written, as far as is known: a store restored from a backup may
+    /// have lost the record.
     pub fn needs_storing(&self, era: StoreEra) -> bool {
         let is_kept =
             |stored: StorePosition| stored.era == era && self.stored == self.stored_at(stored);
         self.is_suspect() && !self.stored.position.is_some_and(is_kept)
     }
 
-    /// How the store keeps it once it was written as it is now, at this position.
+    /// How the store keeps the record after the current state is written at this position.
     pub fn stored_at(&self, position: StorePosition) -> Stored {
         Stored {
             position: Some(position),
@@ -106,9 +108,10 @@
         }
     }
 
-    /// How many ends of replicas count against it. Of those that came together the first counts whole and the others half,
-    /// two at the most; where replicas ended with them at which it was not open, only the first counts, and half. One at
-    /// which the request began to run after the end before did not come together with that.
+    /// The number of crashes that count against the request. Of crashes that happened together the first
+    /// counts one and the others half each, two in total at most; if other replicas crashed with them where
+    /// the request was not open, only the first counts, as half. A crash of a run that started after the
+    /// previous crash did not happen together with that one.
     pub fn count(&self) -> f64 {
         self.weight(|strike| strike.is_coincident) as f64 / STRIKE_WEIGHT as f64
     }
@@ -120,10 +123,9 @@
         let mut previous_crash_at: Option<Duration> = None;
         for strike in &self.strikes {
             let is_independent = !is_coincident(strike);
-            let began_after_crash = previous_crash_at.is_some_and(|end| strike.began_after(end));
+            let is_new_run = previous_crash_at.is_some_and(|crash| strike.began_after(crash));
             previous_crash_at = Some(strike.at);
-            let is_same_event =
-                !began_after_crash && event_until.is_some_and(|until| strike.at < until);
+            let is_same_event = !is_new_run && event_until.is_some_and(|until| strike.at < until);
             if !is_same_event {
                 event_until = Some(strike.at + SAME_EVENT_WINDOW);
                 event_weight = 0;
@@ -140,29 +142,29 @@
         weight
     }
 
-    /// Whether every daemon is to know it.
+    /// Whether every daemon has to know the record.
     pub fn is_shared(&self) -> bool {
         self.is_quarantined || self.generation > 0 || self.strikes.len() >= SUSPICIOUS_STRIKES
     }
 
-    /// Whether requests are compared with it: it may have to be refused, or cleared.
+    /// Whether requests are compared with the record: the request may have to be refused, or cleared.
     pub(super) fn needs_lookup(&self) -> bool {
         self.is_quarantined || self.strikes.len() >= SUSPICIOUS_STRIKES
     }
 
-    /// Whether it must not be sent like any other request.
+    /// Whether the request must not be sent like any other.
     pub fn is_suspect(&self) -> bool {
         self.is_quarantined
             || self.weight(|strike| strike.is_coincident) >= SUSPICIOUS_STRIKES * STRIKE_WEIGHT
     }
 
-    /// When it is tried in quarantine; nothing where only an operator can release it.
+    /// When the request is due for a trial in quarantine; `None` if only an operator can release it.
     pub fn trial_due_at(&self) -> Option<Duration> {
         let term = FIRST_TRIAL_DELAY.saturating_mul(1 << self.trials);
         (self.trials < MAX_TRIALS).then(|| self.last_event_at().saturating_add(term))
     }
 
-    /// Takes in what another daemon knows.
+    /// Merges what another daemon knows.
     pub(super) fn merge(&mut self, other: Self) {
         if other.generation < self.generation {
             return;
@@ -187,8 +189,8 @@
         self.strikes.drain(..surplus);
     }
 
-    /// Adds a strike; the end of one replica counts once, from when it was seen first. Who knows when the run had begun there
-    /// knows when the replica ended; the store, which keeps no times, knows neither.
+    /// Adds a strike; the crash of one replica counts once, at the earliest time seen. A strike with a start
+    /// time has the real time of the crash; the store, which keeps no times, has neither.
     fn add(&mut self, strike: Strike) {
         match self
             .strikes
@@ -208,8 +210,8 @@
         }
     }
 
-    /// How long it had run at the replicas that ended, in the mean; zero where that is not known. Daemons know it alike to some
-    /// milliseconds.
+    /// The mean time that the request had run at the replicas that crashed; zero if unknown. All daemons
+    /// agree on it within a few milliseconds.
     pub(super) fn mean_run(&self) -> Duration {
         let mut runs = Duration::ZERO;
         let mut count = 0;
@@ -222,7 +224,7 @@
         runs.checked_div(count).unwrap_or_default()
     }
 
-    /// Whether one more strike would displace one.
+    /// Whether one more strike would displace an earlier one.
     pub(super) fn is_full(&self) -> bool {
         self.strikes.len() >= MAX_RECORDED_STRIKES
     }
@@ -253,7 +255,8 @@
         bytes.extend(self.trials.to_le_bytes());
         bytes.push(u8::from(self.is_quarantined));
         if self.isolated_trials > 0 {
-            // Only then, so that a daemon of an earlier version, which knows of no such trials, has the same digest.
+            // Omitted when zero, so that daemons of earlier versions, which know no isolated trials, compute
+            // the same digest.
             bytes.extend(self.isolated_trials.to_le_bytes());
         }
         xxhash_rust::xxh3::xxh3_64(&bytes)
@@ -261,26 +264,26 @@
 }
 
 impl Strike {
-    /// Whether the request began to run at this replica after another one had ended.
-    fn began_after(&self, end: Duration) -> bool {
+    /// Whether the request started to run at this replica after another crash.
+    fn began_after(&self, crashed_at: Duration) -> bool {
         let alive_at = self.replica_alive_at();
-        alive_at.is_some_and(|alive_at| began_after_crash(alive_at, end))
+        alive_at.is_some_and(|alive_at| began_after_crash(alive_at, crashed_at))
     }
 
-    /// When the replica was there yet, as far as this strike shows: a request that was lost at once may have been sent on a
-    /// connection to a replica that had ended unseen.
+    /// When the replica was last known to run according to this strike. A request that was lost at once
+    /// proves nothing: it may have been sent on a connection to a replica that had crashed unnoticed.
     pub(super) fn replica_alive_at(&self) -> Option<Duration> {
         let ran = |began_at: Duration| self.at.saturating_sub(began_at);
         self.began_at.filter(|began_at| ran(*began_at) >= MIN_RUN)
     }
 }
 
-/// Whether a run began after the end of a replica.
-pub(super) fn began_after_crash(began_at: Duration, end: Duration) -> bool {
-    began_at.saturating_add(TIMING_TOLERANCE) > end
+/// Whether a run started after a crash.
+pub(super) fn began_after_crash(began_at: Duration, crashed_at: Duration) -> bool {
+    began_at.saturating_add(TIMING_TOLERANCE) > crashed_at
 }
 
-/// The earlier one of those that are known.
+/// The earlier of the known times.
 fn earliest(one: Option<Duration>, other: Option<Duration>) -> Option<Duration> {
     one.into_iter().chain(other).min()
 }
--- a/crates/gateway/src/quarantine/shared.rs
+++ b/crates/gateway/src/quarantine/shared.rs
@@ -1,4 +1,4 @@
-//! The records of this daemon, and what it has to tell others and the store.
+//! The records of this daemon, and what it has to announce to other daemons and to the store.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,37 +15,38 @@
 use super::record::{Record, Stored, Strike};
 use crate::store::StorePosition;
 
-/// How often news are told: a datagram may be lost, and those that are told twice know it already.
+/// How often an update is announced: a datagram may be lost, and receivers ignore what they know already.
 const ANNOUNCEMENTS: u8 = 3;
 
-/// The time between two tellings of the same news; three of them end well before others must know (`contact_seconds`).
+/// The time between two announcements of an update; three of them end well before others must know it
+/// (`contact_seconds`).
 pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(350);
 
-/// Where the clock of the records begins, so that moments before the start of this daemon have a place on it, which others
-/// tell it of. Longer than anything is remembered.
+/// The reading of the records' clock when this daemon starts, so that times before the start, which other
+/// daemons report, can be represented. It is longer than anything is remembered.
 const CLOCK_ORIGIN: Duration = Duration::from_secs(30 * 24 * 3600);
 
-/// An object of the store that is to be removed.
+/// A stored object that is to be removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Removal {
-    /// The request.
+    /// The request whose record the object keeps.
     pub fingerprint: Fingerprint,
-    /// Where its object was last changed.
+    /// Where the object was last changed.
     pub position: StorePosition,
 }
 
-/// What is to be told to other daemons.
+/// What to send to other daemons.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Strikes, for the daemons that count for their requests.
+    /// Strikes, for the home daemons of their requests.
     pub strikes: Vec<(Fingerprint, Strike)>,
-    /// Requests that ended well, for the same daemons.
+    /// Requests that were cleared, for their home daemons.
     pub cleared: Vec<Fingerprint>,
-    /// Requests whose records all are to know.
+    /// Requests whose records all daemons have to know.
     pub updates: Vec<Fingerprint>,
 }
 
-/// News that are told more than once.
+/// An update that is announced repeatedly.
 #[derive(Debug, Clone, Copy)]
 struct Announcement {
     left: u8,
@@ -56,28 +57,28 @@
 #[derive(Debug)]
 pub struct Quarantine {
     began: Instant,
-    /// Answers that broke off, until it is known whether their replica has ended.
+    /// Lost answers, until it is known whether their replica has crashed.
     pub(super) lost_answers: LostAnswers,
     ledger: RefCell<Ledger>,
     outbox: RefCell<Outbox>,
     announcements: RefCell<HashMap<Fingerprint, Announcement>>,
     removals: RefCell<Vec<Removal>>,
-    /// Wakes the task that tells others.
+    /// Wakes the task that announces updates to other daemons.
     pub announce_wakeup: Notify,
     /// Wakes the task that keeps records in the store.
     pub store_wakeup: Notify,
 }
 
-/// Who told of something, for the logs.
+/// The source of a record or strike, for the logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordSource {
-    /// This daemon saw it.
+    /// This daemon observed it.
     Own,
     /// Another daemon.
     Peer,
     /// The store.
     Store,
-    /// The list of replicas: it named the life that an end is of, which was told before.
+    /// The list of replicas, which named the incarnation of a strike reported earlier.
     Replicas,
 }
 
@@ -97,19 +98,19 @@
 }
 
 impl Quarantine {
-    /// The moment, on the clock of the records.
+    /// The current time on the clock of the records.
     pub fn now(&self) -> Duration {
         CLOCK_ORIGIN + self.began.elapsed()
     }
 
-    /// Takes in that a replica ended at `at` while a request of this daemon was open there.
+    /// Records that a replica crashed while a request of this daemon was open there, and announces it.
     pub fn strike(&self, fingerprint: Fingerprint, strike: Strike, role: Role) {
         self.outbox.borrow_mut().strikes.push((fingerprint, strike));
         self.announce_wakeup.notify_one();
         self.record_strike(fingerprint, strike, role, RecordSource::Own);
     }
 
-    /// Takes in a strike.
+    /// Records a strike.
     pub fn record_strike(
         &self,
         fingerprint: Fingerprint,
@@ -129,7 +130,8 @@
         self.handle_update(fingerprint, update, source);
     }
 
-    /// Takes in that a replica has started again under its id: the life `after` follows `before`, both by their digests.
+    /// Records that a replica has restarted under its id: incarnation `after` follows `before`, both given by
+    /// their digests.
     pub fn note_next_incarnation(&self, before: u64, after: u64) {
         let mut ledger = self.ledger.borrow_mut();
         let struck = ledger.note_next_incarnation(before, after, self.now());
@@ -137,20 +139,20 @@
         self.log_attributed(struck, after);
     }
 
-    /// Takes in that the entry of a replica is gone; its life by its digest.
-    pub fn note_removed_incarnation(&self, life: u64) {
+    /// Records that the entry of a replica's incarnation, given by its digest, is gone.
+    pub fn note_removed_incarnation(&self, incarnation: u64) {
         let mut ledger = self.ledger.borrow_mut();
-        let struck = ledger.note_removed_incarnation(life, self.now());
+        let struck = ledger.note_removed_incarnation(incarnation, self.now());
         drop(ledger);
-        self.log_attributed(struck, life);
+        self.log_attributed(struck, incarnation);
     }
 
-    /// Takes in strikes that waited until it was known which life they are of.
-    fn log_attributed(&self, struck: Vec<(Fingerprint, RecordUpdate)>, life: u64) {
+    /// Logs and announces strikes that waited until their incarnation was known.
+    fn log_attributed(&self, struck: Vec<(Fingerprint, RecordUpdate)>, incarnation: u64) {
         for (fingerprint, update) in struck {
             log_event!(
                 gateway::REQUEST_STRUCK,
-                "fingerprint={fingerprint} replica_digest={life:016x} count={} told_by={:?}",
+                "fingerprint={fingerprint} replica_digest={incarnation:016x} count={} told_by={:?}",
                 self.read(|ledger| ledger.get(fingerprint).map_or(0.0, Record::count)),
                 RecordSource::Replicas
             );
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Takes in a record that another daemon or the store told; true where it was news.
+    /// Merges a record from another daemon or the store; returns whether that changed something.
     pub fn merge_record(
         &self,
         fingerprint: Fingerprint,
@@ -188,7 +190,7 @@
         update != RecordUpdate::NotShared
     }
 
-    /// Takes in that an answer to a request came whole: its replica has survived it.
+    /// Records that an answer to a request completed: its replica has survived it.
     pub fn clear(&self, fingerprint: Fingerprint, source: RecordSource) {
         let cleared = self.ledger.borrow_mut().clear(fingerprint, self.now());
         let Some(cleared) = self.announce_if_shared(fingerprint, cleared) else {
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Takes in that an operator took a request out of the store.
+    /// Records that an operator removed a request from the store.
     pub fn release(&self, fingerprint: Fingerprint) {
         let released = self.ledger.borrow_mut().release(fingerprint, self.now());
         if let Some(cleared) = self.announce_if_shared(fingerprint, released) {
@@ -226,23 +228,26 @@
         }
     }
 
-    /// Takes in the whole list of the store's records, read at `position`: those are released that it kept before, in the
-    /// same era, and that are not in it any more. Those that it kept in an earlier one may be lost.
+    /// Compares with the complete list of stored records, read at `position`: records that the store kept
+    /// before in the same era, and that are missing in the list, were released. Those that it kept in an
+    /// earlier era may have been lost.
     pub fn release_missing(&self, listed: &[Fingerprint], position: StorePosition) {
         let ledger = self.ledger.borrow();
         let is_in_list = |stored: StorePosition| stored.era == position.era && stored <= position;
         let stored = ledger
             .shared_records()
             .filter(|(_, record)| record.stored.position.is_some_and(is_in_list));
-        let gone = stored.map(|(fingerprint, _)| fingerprint);
-        let gone: Vec<Fingerprint> = gone.filter(|gone| !listed.contains(gone)).collect();
+        let missing = stored.map(|(fingerprint, _)| fingerprint);
+        let missing: Vec<Fingerprint> = missing
+            .filter(|missing| !listed.contains(missing))
+            .collect();
         drop(ledger);
-        for fingerprint in gone {
+        for fingerprint in missing {
             self.release(fingerprint);
         }
     }
 
-    /// Takes in that the request is tried in quarantine.
+    /// Records that the quarantined request is tried after a long time.
     pub fn begin_trial(&self, fingerprint: Fingerprint) {
         self.ledger.borrow_mut().begin_trial(fingerprint);
         log_event!(
@@ -252,7 +257,7 @@
         self.announce(fingerprint);
     }
 
-    /// Takes in that the request is tried apart from those that were open at the same ends.
+    /// Records that the request is tried in isolation from those that were open at the same crashes.
     pub fn begin_isolated_trial(&self, fingerprint: Fingerprint) {
         self.ledger
             .borrow_mut()
@@ -265,7 +270,7 @@
         self.announce(fingerprint);
     }
 
-    /// What is to be done with a request. `fingerprint` is asked for only where there are suspects.
+    /// Decides how to treat a request. `fingerprint` is only computed if there are suspects.
     pub fn verdict(&self, fingerprint: impl FnOnce() -> Fingerprint) -> Verdict {
         let ledger = self.ledger.borrow();
         match ledger.has_suspects() {
@@ -274,39 +279,39 @@
         }
     }
 
-    /// Whether an answer that came whole may clear a request.
+    /// Whether a completed answer may clear a request.
     pub fn may_clear(&self) -> bool {
         self.ledger.borrow().may_clear(self.now())
     }
 
-    /// Reads the records.
+    /// Calls `read` with the records.
     pub fn read<R>(&self, read: impl FnOnce(&Ledger) -> R) -> R {
         read(&self.ledger.borrow())
     }
 
-    /// Takes in how the store keeps a record, and tells all daemons.
+    /// Records how the store keeps a record, and announces it to all daemons.
     pub fn note_stored(&self, fingerprint: Fingerprint, stored: Stored) {
         self.ledger.borrow_mut().note_stored(fingerprint, stored);
         self.announce(fingerprint);
     }
 
-    /// Wants an object of the store removed.
+    /// Schedules the removal of a stored object.
     pub fn remove(&self, removal: Removal) {
         self.removals.borrow_mut().push(removal);
         self.store_wakeup.notify_one();
     }
 
-    /// Wants it removed with the next try, not at once.
+    /// Schedules another attempt to remove an object, without waking the task.
     pub fn retry_removal(&self, removal: Removal) {
         self.removals.borrow_mut().push(removal);
     }
 
-    /// The objects to be removed from the store; what fails is to be put back.
+    /// Takes the objects to remove from the store; failed removals go to [`Self::retry_removal`].
     pub fn take_removals(&self) -> Vec<Removal> {
         self.removals.take()
     }
 
-    /// Forgets what is too old to count; what of it the store keeps.
+    /// Forgets records that are too old to count; returns the removals for those that the store keeps.
     pub fn forget_old(&self) -> Vec<Removal> {
         let kept_in_store = self.ledger.borrow_mut().forget_old(self.now());
         let removals = kept_in_store.into_iter();
@@ -317,7 +322,7 @@
         removals.collect()
     }
 
-    /// What is to be told now.
+    /// Takes what is to be sent now.
     pub fn take_outbox(&self) -> Outbox {
         let now = self.now();
         let mut outbox = self.outbox.take();
@@ -333,7 +338,7 @@
         outbox
     }
 
-    /// Whether news are to be told once more.
+    /// Whether updates remain to be announced again.
     pub fn has_announcements(&self) -> bool {
         !self.announcements.borrow().is_empty()
     }
--- a/crates/gateway/src/quarantine/stored_state.rs
+++ b/crates/gateway/src/quarantine/stored_state.rs
@@ -1,19 +1,20 @@
-//! What the store keeps of a record, beside what a daemon wants it to keep.
+//! Compares the stored record of a request with a daemon's own.
 
 use crate::protocol::QuarantineRecord;
 
 /// How the store's object compares with a daemon's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoredState {
-    /// It says all that the record says.
+    /// It contains everything in the daemon's record.
     Current,
-    /// It says less: it is to be written over.
+    /// It lacks something and has to be overwritten.
     Outdated,
-    /// The request was cleared or released since: the record is outdated.
+    /// The request was cleared or released since: the daemon's record is out of date.
     Newer,
 }
 
-/// Compares what the store keeps with a daemon's record. A store that came back from a copy may keep an earlier state.
+/// Compares the store's object with a daemon's record. A store that was restored from a backup may hold an
+/// earlier state.
 pub fn compare(kept: &QuarantineRecord, own: &QuarantineRecord) -> StoredState {
     if kept.generation != own.generation {
         return match kept.generation > own.generation {
--- a/crates/gateway/src/quota/group_use.rs
+++ b/crates/gateway/src/quota/group_use.rs
@@ -1,9 +1,10 @@
-//! What a tenant used in one group of daemons, as the group's leaders tell.
+//! What a tenant used in one group of daemons, as reported by the leaders of the group.
 //!
-//! There may be two of them for a while: one that was silent, and wakes, and one that leads meanwhile. A member tells one of
-//! them at a time, so each counts what it is told itself, and their reports are kept apart.
+//! Two daemons may act as leader for a while: one that was frozen and has resumed, and its successor. A
+//! member reports to one leader at a time, so each leader counts only what it received itself, and the
+//! reports of the two are kept apart.
 //!
-//! Reads no clock: times are durations since any fixed moment of one steady clock.
+//! This module reads no clock: all times are durations since a fixed instant of one monotonic clock.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,39 +12,43 @@
 use super::usage::{BASELINE_LOOKBACK, MinDelay, Totals};
 use crate::peers::message::WireTotals;
 
-/// The time over which use is averaged, and over which what is left in the bucket is given out. It is well over the
-/// time in which daemons hear of each other's use (some 100 ms), so that they don't swing.
+/// The window over which usage rates are averaged, and over which tokens left in the bucket are spent. It is
+/// well above the time that daemons need to learn of each other's usage (about 100 ms), which keeps the rates
+/// from oscillating.
 pub(super) const AVERAGING_WINDOW: Duration = Duration::from_secs(1);
 
-/// For how long a group that is not heard of is taken to use what it did. A machine that is cut off for longer can't
-/// know that the keys of its tenants are still valid.
+/// How long a group that sends no reports is assumed to keep its last usage rate. A machine that is cut off
+/// for longer can't verify that its tenants' keys are still valid, and so admits nothing.
 pub(super) const ASSUMED_USAGE_WINDOW: Duration = Duration::from_secs(8);
 
-/// The silence of a group from which on its use is assumed: its leader tells each 200 ms at the least.
+/// The time without reports after which the usage of a group is assumed: its leader reports at least every
+/// 200 ms.
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long after a group is heard again its reports make up for the silence: what a new leader was not told yet, or what
-/// waited at this daemon while it stood still. What was assumed and is not reported by then was not used.
+/// How long after a silence the reports of a group may still account for usage during it: a new leader may
+/// not have all members' reports yet, and reports may have waited at this daemon while its process stood
+/// still. Assumed usage that is not reported by then did not happen.
 const CATCH_UP_WINDOW: Duration = Duration::from_millis(250);
 
-/// The shortest time, in seconds, over which a rate is taken: a single request in a shorter one would look like a rush.
+/// The shortest time, in seconds, over which a rate is computed: over a shorter one a single request would
+/// look like a burst.
 const MIN_RATE_SECONDS: f64 = 0.25;
 
-/// Where a report comes from.
+/// The origin of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupReport {
     /// The digest of the group's name.
     pub group: u64,
-    /// The life of the leader that tells.
+    /// The incarnation of the leader that sent the report.
     pub leader: u64,
-    /// When it told, by its own clock.
+    /// When it was sent, by the leader's clock.
     pub sent: Option<Duration>,
 }
 
-/// What one leader told last, and when.
+/// The last report of one leader, and when it arrived.
 #[derive(Debug, Clone, Copy, Default)]
 struct LeaderUsage {
-    /// Nothing before it told of this tenant: what it has counted since it began is not known.
+    /// `None` until the leader has reported this tenant: what it counted since it started is unknown.
     totals: Option<Totals>,
     sent: Option<Duration>,
     reported_at: Duration,
@@ -51,18 +56,18 @@
     delay: MinDelay,
 }
 
-/// What was used lately, which counts the less the longer ago it was.
+/// Recent usage, weighted by an exponential decay over time.
 #[derive(Debug, Clone, Copy, Default)]
 struct DecayingUsage {
-    /// The time over which that was, in seconds.
+    /// The decayed time that the usage covers, in seconds.
     seconds: f64,
     asked: f64,
     admitted: f64,
 }
 
 impl DecayingUsage {
-    /// Adds what was used in the time `passed`. It counts as if it had come evenly, so that a report that makes up for a
-    /// silence is no rush.
+    /// Adds what was used during `passed`. The usage counts as evenly spread over that time, so that a report
+    /// that covers a silence does not look like a burst.
     fn add(&mut self, passed: Duration, asked: f64, admitted: f64) {
         let passed = passed.as_secs_f64();
         let averaging = AVERAGING_WINDOW.as_secs_f64();
@@ -76,33 +81,35 @@
         self.admitted = self.admitted * decay + admitted * gain;
     }
 
-    /// Units a second that were asked for.
+    /// Requested units per second.
     fn asked_rate(&self) -> f64 {
         self.asked / self.seconds.max(MIN_RATE_SECONDS)
     }
 
-    /// Units a second that were admitted.
+    /// Admitted units per second.
     fn admitted_rate(&self) -> f64 {
         self.admitted / self.seconds.max(MIN_RATE_SECONDS)
     }
 }
 
 impl LeaderUsage {
-    /// Whether a report that was told at `sent` was told before one that is known. Reports overtake each other, and a
-    /// daemon that stood still passes on old ones: their totals are lower, and would make the next ones count again.
+    /// Whether a report sent at `sent` is older than one already applied. Datagrams may be reordered, and a
+    /// daemon whose process stood still forwards old reports. Their totals are lower, so applying them would
+    /// count the next ones again.
     fn is_out_of_order(&self, sent: Option<Duration>) -> bool {
         let both = sent.zip(self.sent);
         both.is_some_and(|(sent, known)| sent < known)
     }
 
-    /// Whether a report that was told at `sent` and is taken in at `now` has waited somewhere: it says nothing of whether its
-    /// leader still tells.
+    /// Whether a report sent at `sent` and received at `now` was held up on its way: it does not show that
+    /// its leader still reports.
     fn is_delayed(&mut self, sent: Option<Duration>, now: Duration) -> bool {
         sent.is_some_and(|sent| self.delay.is_delayed(sent, now))
     }
 
-    /// Takes in totals that were told at `sent` and heard at `now`, or that nothing more was used; what was admitted beyond
-    /// those before. Rates are of the leader's time: reports that waited somewhere come together.
+    /// Applies totals sent at `sent` and received at `now`, or `None` if nothing more was used; returns what
+    /// was admitted beyond the previous totals. Rates use the leader's clock, since delayed reports arrive
+    /// together.
     fn apply_report(
         &mut self,
         now: Duration,
@@ -126,8 +133,8 @@
         admitted
     }
 
-    /// One that was not heard before, as if it had told some time ago of what one counts from. It has taken over the members
-    /// of another one, of whose use `usage` tells.
+    /// A leader without earlier reports, as if it had reported its baseline some time ago. It has taken over
+    /// the members of another leader; `usage` is their recent usage.
     fn new(now: Duration, sent: Option<Duration>, usage: DecayingUsage) -> Self {
         Self {
             totals: None,
@@ -142,31 +149,33 @@
 /// What a tenant used in one group.
 #[derive(Debug, Default)]
 pub struct ReportedUsage {
-    /// What each leader told, by its life.
+    /// The state of each leader, by its incarnation.
     leaders: HashMap<u64, LeaderUsage>,
     reported_at: Duration,
-    /// What is taken to have been admitted while nothing was heard and was not reported since, and up to when.
+    /// What is assumed to have been admitted during a silence and not reported since; `assumed_until` is the
+    /// end of the time that it covers.
     assumed: f64,
     assumed_until: Duration,
-    /// When the group was heard again after a silence.
+    /// When reports resumed after a silence.
     resumed_at: Duration,
-    /// Whether the reports since then tell of all that was used in the silence: a leader that was not heard before
-    /// may have begun after it.
+    /// Whether the reports since then cover all usage during the silence. A leader without earlier reports
+    /// may have started after it.
     has_complete_reports: bool,
 }
 
 impl ReportedUsage {
-    /// Whether nothing was heard of the group yet.
+    /// Whether no report of the group has arrived yet.
     pub fn has_no_reports(&self) -> bool {
         self.leaders.is_empty()
     }
 
-    /// When the group was last heard.
+    /// When the last report of the group arrived.
     pub fn reported_at(&self) -> Duration {
         self.reported_at
     }
 
-    /// Takes in totals at `now`, or that nothing more was used; returns what was admitted beyond what is known or was assumed.
+    /// Applies totals received at `now`, or `None` if nothing more was used; returns what was admitted beyond
+    /// what was known or assumed.
     pub fn apply_report(
         &mut self,
         now: Duration,
@@ -180,7 +189,8 @@
         let mut leader = known.unwrap_or_else(|| {
             LeaderUsage::new(now, report.sent, self.take_usage_of_last_leader())
         });
-        // One that waited here while this daemon stood still does not end a silence: its leader may be gone by now.
+        // A report that waited here while this process stood still does not end a silence: its leader may be
+        // gone by now.
         let is_delayed = leader.is_delayed(report.sent, now);
         let reported_at = if is_delayed { leader.reported_at } else { now };
         let admitted = leader.apply_report(now, report.sent, report_totals);
@@ -196,7 +206,8 @@
         admitted - already_assumed
     }
 
-    /// Takes in that the group is heard at `now`, by a leader that is known or by another one.
+    /// Records that the group has reported at `now`; `is_known` tells whether that leader had reported
+    /// before.
     fn note_report(&mut self, now: Duration, is_known: bool) {
         if now > self.reported_at + SILENCE_TIMEOUT {
             self.resumed_at = now;
@@ -207,7 +218,8 @@
         self.assumed_until = now;
     }
 
-    /// What the members used lately of the leader that was heard last, and that another one leads now.
+    /// Takes the recent usage from the leader that reported last, whose members another leader has taken
+    /// over.
     fn take_usage_of_last_leader(&mut self) -> DecayingUsage {
         let leaders = self.leaders.values_mut();
         let latest = leaders.max_by_key(|leader| leader.reported_at);
@@ -216,8 +228,8 @@
         })
     }
 
-    /// What is taken to have been admitted since the last call, where the group is silent at `now`; less than nothing where
-    /// it was heard again, and more was assumed than it reported.
+    /// Returns what is assumed to have been admitted since the last call if the group is silent at `now`. The
+    /// result is negative once the group reports again and reported less than was assumed.
     pub fn assume_usage(&mut self, now: Duration) -> f64 {
         let is_heard = now < self.reported_at + SILENCE_TIMEOUT;
         if is_heard && now >= self.resumed_at + CATCH_UP_WINDOW {
@@ -241,7 +253,7 @@
         assumed
     }
 
-    /// Units a second that are asked for; while the group is silent, what was asked for before.
+    /// Requested units per second; during a silence, the rate before it.
     pub fn asked_rate(&self, now: Duration) -> f64 {
         match now < self.reported_at + ASSUMED_USAGE_WINDOW {
             true => self.sum_rates(now, DecayingUsage::asked_rate),
@@ -249,7 +261,8 @@
         }
     }
 
-    /// A sum over the leaders that tell; one that fell silent before the others has no members any more.
+    /// Sums a rate over the leaders that still report; a leader that fell silent before the others has no
+    /// members any more.
     fn sum_rates(&self, now: Duration, rate: impl Fn(&DecayingUsage) -> f64) -> f64 {
         let latest_report = now.min(self.reported_at);
         let reporting = self
--- a/crates/gateway/src/quota/limit.rs
+++ b/crates/gateway/src/quota/limit.rs
@@ -1,6 +1,6 @@
-//! The copy of one tenant's bucket at one daemon, and whether a request is admitted.
+//! One daemon's copy of a tenant's token bucket, and the decision whether to admit a request.
 //!
-//! Reads no clock: times are durations since any fixed moment of one steady clock.
+//! This module reads no clock: all times are durations since a fixed instant of one monotonic clock.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -12,52 +12,53 @@
 use crate::configuration::Quota;
 use crate::peers::message::WireTotals;
 
-/// After this time what this daemon admitted is in the sums that it is told: two reports on the way, each gathered
-/// for 50 ms, and the links.
+/// The time after which the sums reported to this daemon include what it admitted itself: two reports, each
+/// batched for 50 ms, and the network latency.
 pub const REPORT_LATENCY: Duration = Duration::from_millis(250);
 
-/// The share of the allowed overshoot by which the rate is exceeded; the rest is for what is admitted before the
-/// daemons hear of a tenant that suddenly asks for more.
+/// The share of the tolerated overshoot by which the refill rate exceeds the limit; the rest covers what is
+/// admitted before all daemons know that a tenant's demand has risen.
 const OVERSHOOT_SHARE: f64 = 0.4;
 
-/// The same for the slack, by which the burst is exceeded: requests come in lumps, and a tenant below its rate must
-/// seldom be refused.
+/// The share of the tolerated slack by which the burst is raised: requests arrive in clusters, and a tenant
+/// below its rate must rarely be refused.
 const SLACK_SHARE: f64 = 0.4;
 
-/// The longest time after which a refused caller is told to come back.
+/// The upper bound of the retry delay of a refused caller.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// The shortest such time.
+/// The lower bound of that delay.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// How far a tenant's use may exceed its limit.
+/// How far a tenant's usage may exceed its limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Tolerance {
     /// As a share of the limit.
     pub overshoot: f64,
-    /// Beyond that in each window, in the unit of the limit.
+    /// In addition to that in each window, in the unit of the limit.
     pub slack: f64,
 }
 
-/// Why a request is beyond its tenant's limit.
+/// Why a request exceeds its tenant's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum QuotaExceeded {
-    /// The limit bears it later: about after this time.
+    /// The limit is used up; a retry after about this time can succeed.
     RetryAfter(Duration),
-    /// It is larger than the limit ever bears.
+    /// The request is larger than the burst and is never admitted.
     ExceedsBurst,
 }
 
-/// The copy of one tenant's bucket.
+/// This daemon's copy of one tenant's token bucket.
 #[derive(Debug)]
 pub struct TenantLimit {
     quota: Quota,
     tolerance: Tolerance,
     level: f64,
     refilled_at: Duration,
-    /// What this daemon admitted lately, which the sums of its group may not hold yet.
+    /// Costs of recently admitted requests, with their times, that the sums of this daemon's group may not
+    /// include yet.
     unreported: VecDeque<(Duration, f64)>,
-    /// What it took out of the bucket itself, since nothing was heard of its group.
+    /// What this daemon took out of the bucket itself because its group did not report.
     deducted: f64,
     own_group: u64,
     created_at: Duration,
@@ -65,8 +66,8 @@
 }
 
 impl TenantLimit {
-    /// An empty bucket at `now`: a daemon that has just started can't know what was used before. A tenant below its
-    /// rate is admitted all the same.
+    /// An empty bucket at `now`: a daemon that has just started can't know the previous usage. A tenant below
+    /// its rate is admitted regardless.
     pub fn new(quota: Quota, tolerance: Tolerance, now: Duration) -> Self {
         Self {
             quota,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Puts another limit into force.
+    /// Replaces the limit.
     pub fn set(&mut self, quota: Quota, tolerance: Tolerance) {
         self.quota = quota;
         self.tolerance = tolerance;
@@ -96,7 +97,8 @@
         self.quota.burst + self.tolerance.slack * SLACK_SHARE
     }
 
-    /// Takes in what a group used, as its leader tells at `now`; nothing where it told of other tenants only.
+    /// Applies a report of a group's leader that arrives at `now`; `totals` is `None` if it does not contain
+    /// this tenant.
     pub fn apply_report(
         &mut self,
         now: Duration,
@@ -110,20 +112,21 @@
         let group = self.groups.entry(report.group).or_default();
         let is_first = group.has_no_reports();
         let admitted = group.apply_report(now, &report, totals);
-        // What was used before the bucket was there is not taken out of it.
+        // Usage before this bucket existed is not taken out of it.
         self.level -= if is_first && is_early { 0.0 } else { admitted };
         if report.group == own_group {
             self.level += std::mem::take(&mut self.deducted);
         }
     }
 
-    /// Fills the bucket up to `now`, and takes out what silent groups are taken to use.
+    /// Refills the bucket up to `now`, and takes out the assumed usage of silent groups.
     fn refill(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
-        // What is not told yet is not taken out yet: it does not keep the bucket from being filled.
+        // Unreported costs are not taken out of the level yet, so the level may exceed the burst by them.
         let full = self.burst() + self.unreported_sum();
-        // Both went on at the same time: a daemon that stood still would else find the bucket full, then empty.
+        // Refill and assumed usage are applied together, since they covered the same time. Otherwise a daemon
+        // whose process stood still would first find the bucket full and then empty.
         let groups = self.groups.values_mut();
         let assumed: f64 = groups.map(|group| group.assume_usage(now)).sum();
         self.level = (self.level + passed * self.rate() - assumed).min(full);
@@ -134,8 +137,8 @@
         self.unreported.iter().map(|(_, cost)| cost).sum()
     }
 
-    /// Forgets what this daemon admitted and the sums of its group hold by now. Where nothing is heard of the group, it
-    /// is taken out of the bucket here.
+    /// Drops costs that the sums of this daemon's group include by now. If the group does not report, the
+    /// costs are taken out of the bucket here.
     fn settle_reported(&mut self, now: Duration) {
         let own_group = self.groups.get(&self.own_group);
         let reported_at = own_group.map_or(Duration::ZERO, ReportedUsage::reported_at);
@@ -151,8 +154,8 @@
         }
     }
 
-    /// The share of the limit that is for the groups heard of, where `known` are known of: a daemon that has just
-    /// started and hears nothing of a group can't tell what is used there.
+    /// The share of the limit that belongs to the groups with reports, out of `known` groups: a daemon that
+    /// has just started and has no report of a group can't know its usage.
     fn reporting_share(&self, now: Duration, known: usize) -> f64 {
         if now >= self.created_at + ASSUMED_USAGE_WINDOW || known == 0 {
             return 1.0;
@@ -160,7 +163,7 @@
         (self.groups.len().max(1) as f64 / known as f64).min(1.0)
     }
 
-    /// What the limit bears at `now`, and what is asked for, both in units a second.
+    /// What the limit can admit at `now`, and what is requested, both in units per second.
     fn capacity_and_demand(&mut self, now: Duration, known_groups: usize) -> (f64, f64) {
         self.refill(now);
         let left = self.level - self.unreported_sum();
@@ -170,12 +173,12 @@
         (capacity, rates.sum())
     }
 
-    /// Decides on a request of `cost` at `now`, where so many groups of daemons are known; `draw` is random from 0
-    /// to 1.
+    /// Decides whether to admit a request of `cost` at `now`. `known_groups` is the number of known groups of
+    /// daemons; `draw` is a random number from 0 to 1.
     ///
     /// # Errors
     ///
-    /// Why it is beyond the limit.
+    /// Why the request exceeds the limit.
     pub fn admit(
         &mut self,
         now: Duration,
@@ -197,15 +200,15 @@
         Ok(())
     }
 
-    /// After which time the limit bears a request again, spread by `draw` from that to twice that: at most what
-    /// is asked for beyond the limit has to wait.
+    /// The time after which the limit can admit a request again, spread by `draw` up to twice that time: at
+    /// most the demand beyond the limit has to wait.
     fn retry_after(&self, capacity: f64, asked: f64, draw: f64) -> Duration {
         let excess = (asked - capacity).max(0.0) * AVERAGING_WINDOW.as_secs_f64();
         let wait = excess / self.rate().max(1e-9) * (1.0 + draw);
         Duration::from_secs_f64(wait.min(MAX_RETRY_AFTER.as_secs_f64())).max(MIN_RETRY_AFTER)
     }
 
-    /// What logs tell of the decision at `now`.
+    /// Describes the state at `now` for the log line of a decision.
     pub fn describe(&mut self, now: Duration, known_groups: usize) -> String {
         let (capacity, asked) = self.capacity_and_demand(now, known_groups);
         let oldest_report_at = self.groups.values().map(ReportedUsage::reported_at).min();
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -1,19 +1,21 @@
-//! The limits of tenants, which all daemons keep together.
+//! Tenant limits, enforced by all daemons together.
 //!
-//! No daemon counts for all: each keeps, for every tenant with a limit, a copy of one bucket that is filled at the
-//! tenant's rate, and takes out of it what itself and all others admit. Members tell the leader of their group what
-//! their tenants used, leaders tell each other and their members the sums, some times a second
-//! ([`crate::peers`]). So the cost for a daemon does not grow with their number.
+//! No daemon counts centrally. For each tenant with a limit every daemon keeps a copy of one token bucket,
+//! which refills at the tenant's rate, and takes out of it what it and all other daemons admit. Members
+//! report their tenants' usage to the leader of their group; leaders send the sums to each other and to their
+//! members several times a second ([`crate::peers`]). The cost per daemon thus does not grow with the number
+//! of daemons.
 //!
-//! All copies are filled at the same moment. Were each daemon to admit what its copy bears, hundreds would admit the
-//! same tokens at once. So a request is admitted with the share of what is asked for that the limit bears: each daemon
-//! admits its part of it, whatever part of the traffic comes to it.
+//! All copies refill at the same time. If each daemon admitted whatever its copy allows, hundreds of daemons
+//! would spend the same tokens at once. Each request is therefore admitted with a probability: the rate that
+//! the limit allows divided by the requested rate. So each daemon admits its part, whatever share of the
+//! traffic it receives.
 //!
-//! While nothing is heard of a group its tenants are taken to use what they did.
+//! A group that sends no reports is assumed to keep its last usage rate for a while.
 //!
-//! - [`group_use`]: what a group used, as its leaders tell.
+//! - [`group_use`]: the usage of a group, as reported by its leaders.
 //! - [`limit`]: the copy of one tenant's bucket, and the decision.
-//! - [`usage`]: what was used, in totals that survive the loss of a report.
+//! - [`usage`]: usage as running totals, which tolerate lost reports.
 //! - [`shared`]: all tenants of this daemon.
 
 pub mod group_use;
--- a/crates/gateway/src/quota/shared.rs
+++ b/crates/gateway/src/quota/shared.rs
@@ -14,8 +14,8 @@
 use crate::peers::message::{WireGroupUsage, WireTotals, WireUsage};
 use crate::peers::to_ms;
 
-/// Reports of other groups that are kept for the next report to the own group; more are dropped, and made up for by
-/// later ones.
+/// The maximum number of other groups' reports queued for the next report to the own group. Further ones are
+/// dropped; later reports make up for them.
 const MAX_QUEUED_REPORTS: usize = 256;
 
 /// The limits of all tenants.
@@ -24,22 +24,22 @@
     started_at: Instant,
     own_group: Cell<u64>,
     known_groups: Cell<usize>,
-    /// The digest of the name of the daemon that sums up what this daemon's group uses.
+    /// The digest of the name of the daemon that leads this daemon's group and sums up its usage.
     leader: Cell<u64>,
     tolerance: RefCell<Tolerance>,
     limits: RefCell<HashMap<u64, TenantLimit>>,
-    /// What this daemon's requests used.
+    /// The usage of this daemon's requests.
     own_totals: RefCell<TenantTotals>,
-    /// What was charged for requests that did not run, by tenant; it makes up for what is charged next.
+    /// What was charged for requests that did not run, by tenant; it is deducted from the next charges.
     refunds: RefCell<HashMap<u64, u64>>,
-    /// What the group used, where this daemon leads it.
+    /// The usage of the group, if this daemon leads it.
     group_sums: RefCell<GroupSums>,
-    /// What other groups told since the last report to the own group.
+    /// Reports of other groups since the last report to the own group.
     queued_reports: RefCell<Vec<WireGroupUsage>>,
 }
 
 impl Quotas {
-    /// Limits that are kept with `tolerance`; nothing was used by `began`.
+    /// Limits enforced with `tolerance`; nothing was used before `started_at`.
     pub fn new(tolerance: Tolerance, started_at: Instant) -> Self {
         Self {
             started_at,
@@ -55,23 +55,23 @@
         }
     }
 
-    /// Puts another tolerance into force.
+    /// Replaces the tolerance.
     pub fn reload(&self, tolerance: Tolerance) {
         self.tolerance.replace(tolerance);
     }
 
-    /// Takes in the name of this daemon's group, and how many groups there are.
+    /// Sets the name of this daemon's group and the number of known groups.
     pub fn set_groups(&self, own: &str, known: usize) {
         self.own_group.set(xxh3_64(own.as_bytes()));
         self.known_groups.set(known);
     }
 
-    /// Takes in who leads this daemon's group, by the digest of its name.
+    /// Sets the leader of this daemon's group, by the digest of its name.
     pub fn set_leader(&self, leader: u64) {
         self.leader.set(leader);
     }
 
-    /// The time of this daemon's reports, in milliseconds since the limits were set up.
+    /// The time stamp of this daemon's reports, in milliseconds since the limits were set up.
     pub fn now_ms(&self, now: Instant) -> u64 {
         to_ms(self.since_start(now))
     }
@@ -80,12 +80,12 @@
         now.saturating_duration_since(self.started_at)
     }
 
-    /// Decides on a request of `tenant` whose prompt and answer are of `tokens`, where it says so; `draw` is random
-    /// from 0 to 1. Returns what is to be given back where it does not run.
+    /// Decides whether to admit a request of `tenant` whose prompt and answer have `tokens`, if known; `draw`
+    /// is a random number from 0 to 1. Returns the charge, to be refunded if the request does not run.
     ///
     /// # Errors
     ///
-    /// Why it is beyond the tenant's limit, and what the logs tell of that.
+    /// Why the request exceeds the tenant's limit, and a description of the limit's state for the log.
     pub fn admit(
         &self,
         tenant: &Tenant,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// What is told to have been admitted for a request of `cost`.
+    /// The amount to report as admitted for a request of `cost`, after deducting refunds.
     fn cost_after_refunds(&self, tenant: u64, cost: u64) -> u64 {
         let mut refunds = self.refunds.borrow_mut();
         let Some(remaining) = refunds.get_mut(&tenant) else {
@@ -133,12 +133,13 @@
         cost - refunded
     }
 
-    /// Gives back what was charged for a request that has not run.
+    /// Refunds the charge of a request that did not run.
     pub fn refund(&self, charge: Charge) {
         *self.refunds.borrow_mut().entry(charge.tenant).or_default() += charge.cost;
     }
 
-    /// Begins to count for the tenants of a configuration that have limits, before their first requests come here.
+    /// Starts to count for the tenants of a configuration that have limits, before their first requests
+    /// arrive at this daemon.
     pub fn set_tenants<'a>(&self, tenants: impl Iterator<Item = &'a Tenant>, now: Instant) {
         let now = self.since_start(now);
         let tolerance = *self.tolerance.borrow();
@@ -163,21 +164,21 @@
         !self.limits.borrow().is_empty()
     }
 
-    /// Takes in what a member of the group used.
+    /// Records the usage reported by a member of the group.
     pub fn record_member_usage(&self, usage: &WireUsage, now: Instant) {
         let now = self.since_start(now);
         self.group_sums.borrow_mut().record_member(usage, now);
     }
 
-    /// Takes in what a group used.
+    /// Records the usage reported by a group's leader.
     pub fn record_group_usage(&self, usage: &WireGroupUsage, now: Instant) {
         let now = self.since_start(now);
         let group = xxh3_64(usage.group.as_bytes());
         let own = self.own_group.get();
-        // A daemon of an earlier version does not say who it is.
+        // Daemons of earlier versions do not send the leader's name.
         let is_from_leader = usage.leader == 0 || usage.leader == self.leader.get();
         if group == own && is_from_leader {
-            // What it told before that is in these sums.
+            // These sums include what was reported before that time.
             let reported_until = now.saturating_sub(REPORT_LATENCY);
             self.own_totals
                 .borrow_mut()
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Keeps what another group told for the next report to the own group.
+    /// Queues a report of another group for the next report to the own group.
     pub fn queue_group_report(&self, usage: WireGroupUsage) {
         let mut queued_reports = self.queued_reports.borrow_mut();
         if queued_reports.len() < MAX_QUEUED_REPORTS {
@@ -207,19 +208,19 @@
         }
     }
 
-    /// What other groups told since the last call.
+    /// Returns the reports of other groups queued since the last call.
     pub fn take_queued_reports(&self) -> Vec<WireGroupUsage> {
         self.queued_reports.take()
     }
 
-    /// What this daemon's tenants used lately.
+    /// The recent usage of this daemon's tenants.
     pub fn own_usage(&self, now: Instant) -> Vec<WireTotals> {
         self.own_totals
             .borrow()
             .recently_changed(self.since_start(now))
     }
 
-    /// What the group's tenants used lately, as its members told this daemon.
+    /// The recent usage of the group's tenants, as reported to this daemon by the members.
     pub fn group_usage(&self, now: Instant) -> Vec<WireTotals> {
         let now = self.since_start(now);
         let mut sums = self.group_sums.borrow_mut();
--- a/crates/gateway/src/quota/usage.rs
+++ b/crates/gateway/src/quota/usage.rs
@@ -1,36 +1,38 @@
-//! What tenants used, in totals that only rise: a report that is lost is made up for by the next.
+//! The usage of tenants as running totals, which only grow: the next report makes up for a lost one.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::peers::message::{WireTotals, WireUsage};
 
-/// For how long totals are told again after they have changed, since a report may be lost.
+/// How long totals are repeated after a change, since a report may be lost.
 const REPORT_REPEAT_WINDOW: Duration = Duration::from_secs(1);
 
-/// How far back one counts who hears of the sums of a leader for the first time. A leader that has just taken over began
-/// with nothing, and is heard of within that time, so all that it counter counts.
+/// How far back a receiver counts on the first report of a leader. A new leader starts with empty sums and
+/// its first report arrives within that time, so all that it has counted is included.
 pub const BASELINE_LOOKBACK: Duration = Duration::from_millis(500);
 
-/// Totals of the past are kept apart that lie so far apart in time: the time between two reports.
+/// The interval between snapshots of past totals: the interval between two reports.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Totals of the past that are kept for one tenant; while a leader is silent for longer than they reach back, the oldest give way.
+/// The maximum number of snapshots kept for one tenant; the oldest are dropped if a leader is silent for
+/// longer than they cover.
 const MAX_SNAPSHOTS: usize = 40;
 
-/// How much later than usual a report comes that is late. One of a member is of no use: its member was told by then that
-/// another daemon leads, which has counter that. A daemon that stood still finds many such reports.
+/// The delay beyond the usual one above which a report is late. A late report of a member is useless: by then
+/// the member was told that another daemon leads, which has counted that usage. A daemon whose process stood
+/// still finds many such reports.
 const LATE_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// For how long the usual time of reports holds: clocks drift apart by less than a millisecond in that time.
+/// How long a minimum delay is remembered: clocks drift apart by less than a millisecond in that time.
 const MIN_DELAY_WINDOW: Duration = Duration::from_secs(10);
 
-/// What one tenant used, in the unit of its limit.
+/// The usage of one tenant, in the unit of its limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Totals {
     /// What its requests asked for.
     pub asked: u64,
-    /// What of that was admitted.
+    /// What was admitted of that.
     pub admitted: u64,
 }
 
@@ -43,7 +45,7 @@
         }
     }
 
-    /// The higher of both: totals only rise.
+    /// The larger value of each total, since totals only grow.
     pub(super) fn max_with(&self, other: &Self) -> Self {
         Self {
             asked: self.asked.max(other.asked),
@@ -58,7 +60,7 @@
 }
 
 impl WireTotals {
-    /// The totals.
+    /// The totals, without the baseline.
     pub fn totals(&self) -> Totals {
         Totals {
             asked: self.asked,
@@ -66,7 +68,7 @@
         }
     }
 
-    /// The totals from which one counts who was not told before.
+    /// The totals from which a new receiver of the reports counts.
     pub fn baseline(&self) -> Totals {
         Totals {
             asked: self.asked_before,
@@ -75,14 +77,14 @@
     }
 }
 
-/// The totals of one tenant.
+/// The running totals of one tenant.
 #[derive(Debug, Default)]
 struct TenantCounter {
     totals: Totals,
     changed_at: Duration,
-    /// The totals from which one counts who was not told before.
+    /// The totals from which a new receiver of the reports counts.
     baseline: Totals,
-    /// Earlier totals, each with the moment by which they had been reached, the latest last.
+    /// Earlier totals, each with the time by which they had been reached, in order of time.
     snapshots: VecDeque<(Duration, Totals)>,
 }
 
@@ -111,7 +113,7 @@
     }
 }
 
-/// Totals by tenant.
+/// Running totals by tenant.
 #[derive(Debug, Default)]
 pub struct TenantTotals {
     by_tenant: HashMap<u64, TenantCounter>,
@@ -123,14 +125,14 @@
         self.by_tenant.entry(tenant).or_default().add(now, more);
     }
 
-    /// From now on one who was not told before counts from what had been reached by `until`.
+    /// Moves the baseline of new receivers to the totals reached by `until`.
     pub fn advance_baseline(&mut self, until: Duration) {
         for counter in self.by_tenant.values_mut() {
             counter.advance_baseline(until);
         }
     }
 
-    /// Those that changed lately.
+    /// Returns the totals that changed recently.
     pub fn recently_changed(&self, now: Duration) -> Vec<WireTotals> {
         let all = self.by_tenant.iter();
         let recent = all.filter(|(_, counter)| now < counter.changed_at + REPORT_REPEAT_WINDOW);
@@ -149,12 +151,12 @@
 /// The sums of a group, kept by its leader.
 #[derive(Debug, Default)]
 pub struct GroupSums {
-    /// The sums since this daemon began to keep them.
+    /// The sums since this daemon started to keep them.
     pub totals: TenantTotals,
     members: HashMap<u64, Member>,
 }
 
-/// What a member told last.
+/// The last report of a member.
 #[derive(Debug, Default)]
 struct Member {
     life: u64,
@@ -162,8 +164,8 @@
     delay: MinDelay,
 }
 
-/// The least of the differences between another daemon's clock and this one's that its reports showed lately: that of a
-/// report which came at once.
+/// The minimum difference between another daemon's clock and this one's over its recent reports, which
+/// belongs to a report that arrived without delay.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct MinDelay {
     min: Option<i128>,
@@ -172,7 +174,7 @@
 }
 
 impl MinDelay {
-    /// Whether a report that was told at `sent` and is taken in at `now` has come much later than others.
+    /// Whether a report sent at `sent` and received at `now` arrived much later than others.
     pub(super) fn is_delayed(&mut self, sent: Duration, now: Duration) -> bool {
         let in_micros = |time: Duration| i128::try_from(time.as_micros()).unwrap_or(i128::MAX);
         let delay = in_micros(now) - in_micros(sent);
@@ -187,7 +189,7 @@
 }
 
 impl GroupSums {
-    /// Adds what a member used since it told last, or since the sums of another leader held what it used.
+    /// Adds what a member used since its last report, or since the sums of another leader included its usage.
     pub fn record_member(&mut self, usage: &WireUsage, now: Duration) {
         let member = self.members.entry(usage.daemon).or_default();
         if member.life != usage.incarnation {
--- a/crates/gateway/src/standstill.rs
+++ b/crates/gateway/src/standstill.rs
@@ -1,7 +1,8 @@
-//! How long this process has stood still: frozen, or on a machine that was suspended.
+//! Measures how long this process stood still: frozen, or on a suspended machine.
 //!
-//! What it measured over such a time says nothing of others, and timers that should have ended may still wait: those of the
-//! runtime stand still with a machine. So a task ticks, and a gap between two ticks is a standstill.
+//! What the process measures over such a time says nothing about others, and overdue timers may not have
+//! fired yet: the runtime's timers stand still with the machine. So a task ticks, and a gap between two ticks
+//! is a standstill.
 
 use std::rc::Rc;
 use std::sync::OnceLock;
@@ -17,31 +18,32 @@
 /// The time between two ticks, each of which wakes the process.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The least gap that is a standstill. A machine whose share of its processors is spent waits for a tenth of a second
-/// (operator's pages), which is part of what is measured.
+/// The shortest gap that counts as a standstill. A machine that has used up its CPU quota waits for a tenth
+/// of a second (operator's documentation), which is part of what is measured.
 const MIN_STANDSTILL: Duration = Duration::from_millis(250);
 
-/// The moment from which ticks are counted.
+/// The time from which ticks are counted.
 static TICK_EPOCH: OnceLock<Instant> = OnceLock::new();
 
-/// When the process last showed that it runs, in nanoseconds since [`TICK_EPOCH`]; 0 before the first tick.
+/// The time of the last tick, in nanoseconds since [`TICK_EPOCH`]; 0 before the first tick.
 static LAST_TICK_NANOS: AtomicU64 = AtomicU64::new(0);
 
-/// How long it has stood still in all, in nanoseconds.
+/// The total standstill, in nanoseconds.
 static TOTAL_STANDSTILL_NANOS: AtomicU64 = AtomicU64::new(0);
 
-/// The least standstill over which news lose their moment. Under load all daemons of a machine may stand still for some tenths of
-/// a second at once: none of them would take in what was told meanwhile.
+/// The shortest standstill after which received messages count as out of date. Under load all daemons of a
+/// machine may stand still for some tenths of a second at once; with a lower bound none of them would use
+/// what arrived meanwhile.
 const LONG_STANDSTILL: Duration = Duration::from_secs(1);
 
-/// When the last long standstill was noticed, in nanoseconds since [`TICK_EPOCH`]; 0 for none.
+/// When the last long standstill was noticed, in nanoseconds since [`TICK_EPOCH`]; 0 if there was none.
 static LAST_WAKE_NANOS: AtomicU64 = AtomicU64::new(0);
 
-/// For how long after a long standstill what is read may have waited for this process: a socket's buffer is read within
-/// milliseconds, other tasks that wake come before.
+/// How long after a long standstill incoming data may have been waiting for this process: a socket's buffer
+/// is read within milliseconds, after other tasks that wake up first.
 const WAKE_WINDOW: Duration = Duration::from_millis(250);
 
-/// Shows that the process runs; returns how long it had stood still until now, where it had.
+/// Records that the process runs; returns the length of the standstill that just ended, if any.
 pub fn tick() -> Option<Duration> {
     let now = nanos(TICK_EPOCH.get_or_init(Instant::now).elapsed()).max(1);
     let last = LAST_TICK_NANOS.fetch_max(now, Ordering::Relaxed);
@@ -56,8 +58,8 @@
     Some(Duration::from_nanos(gap))
 }
 
-/// How long the process has stood still in all since the first tick; also where the next tick is only due. It rises with
-/// each standstill, so that two of these tell whether one lies in between.
+/// The total standstill since the first tick, including one whose tick is still due. It grows with each
+/// standstill, so two readings tell whether one lies between them.
 pub fn total() -> Duration {
     if LAST_TICK_NANOS.load(Ordering::Relaxed) > 0 {
         log_standstill(tick());
@@ -65,7 +67,7 @@
     Duration::from_nanos(TOTAL_STANDSTILL_NANOS.load(Ordering::Relaxed))
 }
 
-/// Whether the process has stood still for long until just now, so that what it reads may have waited meanwhile.
+/// Whether the process has just resumed after a long standstill, so that data it reads may have been waiting.
 pub fn has_just_woken() -> bool {
     total();
     let Some(epoch) = TICK_EPOCH.get() else {
@@ -75,7 +77,7 @@
     wake > 0 && nanos(epoch.elapsed()).saturating_sub(wake) < nanos(WAKE_WINDOW)
 }
 
-/// Ticks for ever. After a standstill the requests that wait at replicas look again at how long they may.
+/// Ticks forever. After a standstill, requests that wait at replicas recompute their deadlines.
 pub async fn watch(state: Rc<GatewayState>) {
     let mut known = total();
     loop {
--- a/crates/gateway/src/suspected_weights.rs
+++ b/crates/gateway/src/suspected_weights.rs
@@ -1,15 +1,15 @@
-//! Weights that may have been named although nobody heard of it.
+//! Weights versions that may have been named without this daemon noticing.
 //!
-//! The store keeps only the last write of the object that names a model's weights. A write whose answer was lost may take
-//! effect after a later one; where nobody watches just then, the version in between is never seen. Three things give
-//! it away. The object has the version that is known, at a later position: a write that changes nothing raises no
-//! revision, so something else stood there in between. Or a list shows another write that was made while nobody watched, which
-//! may have been made over a later naming. Or the entry of a replica shows a version above all that are known: a new replica
-//! has the newest.
+//! The store keeps only the last write of the object that names a model's weights. A write whose answer was
+//! lost may take effect after a later one; if nobody watches at that moment, the version in between is never
+//! seen. Three observations point to it. First, the object has the known version at a later position: a write
+//! that changes nothing does not raise the revision, so something else must have been written in between.
+//! Second, a list shows another write made while nobody watched, which may have replaced a later naming.
+//! Third, the entry of a replica shows a version above all known ones: a new replica has the newest.
 //!
-//! None of these proves it: somebody may have written another part of the object, and an entry may be wrong. To take such a version
-//! for named would put all replicas out of use that can't load it. So it is only suspected, and one replica is
-//! ordered to load it: a replica refuses versions that were not named.
+//! None of these is proof: another part of the object may have been written, and an entry may be wrong.
+//! Treating such a version as named would take all replicas that can't load it out of use. It is therefore
+//! only suspected, and one replica is ordered to load it: a replica refuses versions that were not named.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -20,30 +20,32 @@
 use crate::store::{StoreEra, StorePosition};
 use crate::weights::Since;
 
-/// How long entries show a version before it is suspected: within 1.4 s a daemon that reads the store knows of a naming
-/// itself, see [`crate::store::KnownNamings`].
+/// How long entries show a version before it is suspected: a daemon that reads the store learns of a naming
+/// itself within 1.4 s, see [`crate::store::KnownNamings`].
 const SUSPICION_DELAY: Duration = Duration::from_millis(1500);
 
-/// How long a version is not tried after a replica has refused it; each further time twice as long. A writer of
-/// another part of the object that goes on, or an entry that is wrong, costs an order a minute.
+/// How long a version is not tried after a replica refused it; the time doubles with each further refusal. If
+/// a writer keeps changing another part of the object, or an entry stays wrong, that costs one order a
+/// minute.
 const REFUSAL_BACKOFF: Duration = Duration::from_secs(2);
 
-/// The longest such pause.
+/// The upper bound of that backoff.
 const MAX_REFUSAL_BACKOFF: Duration = Duration::from_secs(60);
 
-/// Refusals after which a version is suspected no more, until something new speaks for it. One refusal does not settle it: a
-/// replica may hear of a naming after the store has taken it, as may the operator; these three cover 6 s.
+/// The number of refusals after which a version is no longer suspected, until there is new evidence. One
+/// refusal is not enough: a replica, like the operator, may learn of a naming after the store has accepted
+/// it. Three refusals cover 6 s.
 const MAX_REFUSALS: u32 = 3;
 
-/// Versions of a model of which it is remembered that they were refused. Only broken entries name that many.
+/// The maximum number of refused versions remembered per model. Only broken entries show that many.
 const MAX_REFUSED_VERSIONS: usize = 8;
 
 /// A version that may have been named.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspicion {
-    /// The version.
+    /// The model and the suspected version.
     pub weights: ModelVersion,
-    /// Since when it counts if it was named: the earliest moment at which that can have been.
+    /// When the version counts from if it was named: the earliest time at which that may have happened.
     pub since: Since,
 }
 
@@ -54,26 +56,26 @@
     known_version: Option<KnownVersion>,
     shown: Option<ShownVersion>,
     suspicion: Option<Suspicion>,
-    /// Each version has its own pause, so that an entry which is wrong for long does not keep one from being tried that
-    /// was written over.
+    /// Each version has its own backoff, so that an entry that stays wrong does not delay the trial of a
+    /// version that was overwritten.
     refused: BTreeMap<u64, Refusals>,
 }
 
-/// What is remembered of a version that was refused.
+/// The refusals of one version.
 #[derive(Debug, Clone, Copy)]
 struct Refusals {
     count: u32,
     retry_at: Instant,
 }
 
-/// The object as it was last read from the store.
+/// The object as last read from the store.
 #[derive(Debug, Clone, Copy)]
 struct ObservedObject {
     version: u64,
     position: StorePosition,
 }
 
-/// When this daemon heard of the newest version that it knows.
+/// When this daemon learned of the newest version that it knows.
 #[derive(Debug, Clone, Copy)]
 struct KnownVersion {
     version: u64,
@@ -81,21 +83,22 @@
     era: StoreEra,
 }
 
-/// A version above all that are known, which entries of replicas show.
+/// A version above all known ones, shown by entries of replicas.
 #[derive(Debug, Clone, Copy)]
 struct ShownVersion {
     version: u64,
     since: Instant,
 }
 
-/// Versions that may have been named although nobody heard of it.
+/// Weights versions that may have been named without this daemon noticing.
 #[derive(Debug, Default)]
 pub struct SuspectedWeights {
     by_model: HashMap<String, ModelState>,
 }
 
 impl SuspectedWeights {
-    /// Takes in that a version, the newest that is known now, was heard of at `at`, in this era of the store.
+    /// Records that this daemon learned of a version, the newest known one, at `at`, in this era of the
+    /// store.
     pub fn note_known(&mut self, weights: &ModelVersion, at: Instant, era: StoreEra) {
         let version = weights.version;
         let known = self.by_model.entry(weights.model.clone()).or_default();
@@ -105,9 +108,9 @@
         known.refused.clear();
     }
 
-    /// Takes in the object of a model as it was read from the store, which had not reached its position at `not_before`, as
-    /// far as that is known. True where the same version was known before the object was written: something else was
-    /// written in between.
+    /// Records the object of a model as read from the store. The store had not reached its position at
+    /// `not_before`, if that is known. Returns whether the same version was known before the object was
+    /// written, so that something else was written in between.
     pub fn note_stored(
         &mut self,
         weights: &ModelVersion,
@@ -130,9 +133,9 @@
         known.was_known_by(version, position.era, not_before)
     }
 
-    /// Whether a list that shows the object of a model so may hide a later naming. It shows the last write only, so one that was
-    /// made while nobody watched may have been made over another one: `newest` is what was known before the list, and the
-    /// other arguments are those of [`Self::note_stored`], which is told after this.
+    /// Whether a list that shows this object may hide a later naming. A list shows only the last write, which
+    /// may have replaced another one made while nobody watched. `newest` is the version known before the
+    /// list; the other arguments are those of [`Self::note_stored`], which is called after this.
     pub fn may_hide_naming(
         &self,
         listed: &ModelVersion,
@@ -156,8 +159,8 @@
         }
     }
 
-    /// Takes in which versions above those known entries of replicas show, of each model the lowest; returns those that
-    /// have been shown for long.
+    /// Records the versions above the known ones that entries of replicas show, the lowest of each model;
+    /// returns those shown for long enough to be suspected.
     pub fn note_shown(&mut self, shown: &HashMap<String, u64>, now: Instant) -> Vec<ModelVersion> {
         for (model, known) in &mut self.by_model {
             if !shown.contains_key(model) {
@@ -178,7 +181,8 @@
         shown_long_enough
     }
 
-    /// Takes in a version that may have been named; true where it was not suspected before. Of several the lowest is tried first.
+    /// Records a version that may have been named; returns whether that is new. Of several versions of a
+    /// model the lowest is tried first.
     pub fn suspect(&mut self, suspicion: Suspicion) -> bool {
         let known = self
             .by_model
@@ -194,7 +198,7 @@
         is_new
     }
 
-    /// Takes in that a replica refused a version, as one that was not named.
+    /// Records that a replica refused a version because it was not named.
     pub fn note_refused(&mut self, weights: &ModelVersion, now: Instant) {
         let Some(known) = self.by_model.get_mut(&weights.model) else {
             return;
@@ -208,13 +212,13 @@
         }
     }
 
-    /// Since when this version counts if it was named; nothing where it is not suspected.
+    /// When this version counts from if it was named; `None` if it is not suspected.
     pub fn since(&self, weights: &ModelVersion) -> Option<Since> {
         let suspicion = self.by_model.get(&weights.model)?.suspicion.as_ref()?;
         (suspicion.weights == *weights).then_some(suspicion.since)
     }
 
-    /// All versions that are suspected.
+    /// All suspected versions.
     pub fn all(&self) -> impl Iterator<Item = &Suspicion> {
         self.by_model
             .values()
@@ -230,7 +234,7 @@
 }
 
 impl ModelState {
-    /// Whether this version was heard of by `moment`, in this era of the store.
+    /// Whether this version was known by `moment`, in this era of the store.
     fn was_known_by(&self, version: u64, era: StoreEra, moment: Option<Instant>) -> bool {
         let known_version = self
             .known_version
@@ -240,7 +244,7 @@
             .is_some_and(|(known_version, moment)| known_version.at <= moment)
     }
 
-    /// Takes in that a version was refused; how often it was.
+    /// Counts a refusal of a version; returns how often it was refused.
     fn note_refusal(&mut self, version: u64, now: Instant) -> u32 {
         let count = self.refused.get(&version).map_or(0, |known| known.count);
         let pause = REFUSAL_BACKOFF.saturating_mul(1 << count.min(8));
