--- a/crates/gateway/src/currency.rs
+++ b/crates/gateway/src/currency.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Proof {
     /// When the read started.
-    pub began: Instant,
+    pub started_at: Instant,
     /// The store's position that the read returned; `None` if another gateway reported the read without its position.
     pub position: Option<StorePosition>,
 }
@@ -107,7 +107,7 @@
         if version < self.highest.get() {
             return false;
         }
-        let is_newer = |known: Proof| known.began < proof.began;
+        let is_newer = |known: Proof| known.started_at < proof.started_at;
         if self.proof.get().is_none_or(is_newer) {
             self.proof.set(Some(proof));
         }
@@ -129,7 +129,7 @@
 
     /// The age of the newest proof.
     pub fn age(&self) -> Option<Duration> {
-        self.proof().map(|proof| proof.began.elapsed())
+        self.proof().map(|proof| proof.started_at.elapsed())
     }
 
     /// Whether there is a proof that is no older than `age`.
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -186,7 +186,7 @@
     let position = Some(state.store_position.get()).filter(|known| known.era == era);
     SyncReply {
         nonce: query.nonce,
-        proof_age_ms: proof.map(|proof| to_ms_up(proof.began.elapsed())),
+        proof_age_ms: proof.map(|proof| to_ms_up(proof.started_at.elapsed())),
         view_age_ms: state.peers.view_age().map(to_ms_up),
         store_revision: position.map_or(0, |position| position.revision),
         configuration_version: state.configuration_version(),
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -15,7 +15,9 @@
 use crate::currency::{NewerVersion, Proof};
 use crate::protocol::{LeaseRecord, ModelVersion};
 use crate::state::{GatewayState, STARTUP_WINDOW};
-use crate::store::{StoreEra, StorePosition, adopt_peer_era, name_weights, suspect_weights};
+use crate::store::{
+    StoreEra, StorePosition, adopt_peer_era, record_wanted_weights, suspect_weights,
+};
 use crate::suspected_weights::Suspicion;
 use crate::weights::Since;
 
@@ -238,7 +240,9 @@
 /// Takes in an answer; true where more is to come.
 async fn apply_reply(state: &Rc<GatewayState>, answer: SyncReply, sent_at: Instant) -> bool {
     let proof = proof_in(&answer, sent_at);
-    if let Some((began, position)) = proof.and_then(|proof| Some((proof.began, proof.position?))) {
+    if let Some((began, position)) =
+        proof.and_then(|proof| Some((proof.started_at, proof.position?)))
+    {
         let mut progress = state.store_progress.borrow_mut();
         progress.note(began, position);
     }
@@ -276,12 +280,15 @@
 
 /// The read that proved the configuration in an answer.
 fn proof_in(answer: &SyncReply, sent_at: Instant) -> Option<Proof> {
-    let began = moment_before(sent_at, answer.proof_age_ms)?;
+    let started_at = moment_before(sent_at, answer.proof_age_ms)?;
     let position = answer.proof_revision.map(|revision| StorePosition {
         era: StoreEra::from_number(answer.store_era),
         revision,
     });
-    Some(Proof { began, position })
+    Some(Proof {
+        started_at,
+        position,
+    })
 }
 
 /// How far the store has come, as an answer tells.
@@ -314,7 +321,7 @@
 fn apply_weights_and_lease(state: &GatewayState, answer: &SyncReply, sent_at: Instant) {
     for told in &answer.weights {
         let (named, since) = weights_in(told, sent_at);
-        name_weights(state, &named, since);
+        record_wanted_weights(state, &named, since);
     }
     for told in &answer.suspected_weights {
         let (weights, since) = weights_in(told, sent_at);
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -30,7 +30,7 @@
             return;
         }
     };
-    let is_listed = store::join_daemons(&state).await;
+    let is_listed = store::register_gateway(&state).await;
     log::debug!("daemons listed at the start: {is_listed}");
     let (sync_replies, received_replies) = unbounded_channel();
     let (cached_replies, received_pages) = unbounded_channel();
--- a/crates/gateway/src/rollout/load.rs
+++ b/crates/gateway/src/rollout/load.rs
@@ -13,7 +13,7 @@
 };
 use crate::replicas::Replica;
 use crate::state::GatewayState;
-use crate::store::{Rejected, name_weights};
+use crate::store::{Rejected, record_wanted_weights};
 use crate::upstream::{self, CallError};
 
 /// How long an order's answer is waited for.
@@ -85,7 +85,7 @@
 pub fn name_if_suspected(state: &GatewayState, taken: &ModelVersion) {
     let since = state.suspected_weights.borrow().since(taken);
     if let Some(since) = since {
-        name_weights(state, taken, since);
+        record_wanted_weights(state, taken, since);
     }
 }
 
--- a/crates/gateway/src/store/client.rs
+++ b/crates/gateway/src/store/client.rs
@@ -97,10 +97,10 @@
     loop {
         let after = last_name(&objects);
         let call = state.platform.list(kind, after, freshness);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let answer = get(state, &call, CALL_TIMEOUT).await;
         if answer.as_ref().is_err_and(StoreError::is_store_failure) {
-            state.store_outage.note_failed_list(began);
+            state.store_outage.note_failed_list(started_at);
         }
         let (era, body) = answer?;
         let page: ListPage = state
@@ -112,7 +112,7 @@
         if freshness == Freshness::Newest {
             record_position(state, page.position);
             let mut progress = state.store_progress.borrow_mut();
-            progress.note(began, page.position);
+            progress.note(started_at, page.position);
         }
         // A watch continues from the position of the first page, so it reports everything that has changed since.
         let position = *first_position.get_or_insert(page.position);
@@ -210,9 +210,9 @@
         Err(StoreError::Call(CallError::NotSent(_))) => WriteAnswer::Busy,
         Err(_) => WriteAnswer::Unknown,
     };
-    let is_of_other_era = state.store_eras.changes() != changes;
+    let has_era_changed = state.store_eras.changes() != changes;
     match answer {
-        WriteAnswer::Accepted(_) if is_of_other_era => WriteAnswer::Unknown,
+        WriteAnswer::Accepted(_) if has_era_changed => WriteAnswer::Unknown,
         answer => answer,
     }
 }
@@ -283,10 +283,10 @@
     call: &Call,
     timeout: Duration,
 ) -> Result<(StoreEra, Bytes), StoreError> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let result = read_once(state, call, timeout).await;
     if matches!(result, Err(StoreError::Call(_) | StoreError::Status(_))) {
-        state.store_outage.note_failure(began);
+        state.store_outage.note_failure(started_at);
     }
     result
 }
@@ -312,7 +312,7 @@
 ) -> Result<(StoreEra, CallAnswer), StoreError> {
     state.status.metrics.store_calls.inc();
     let answer = upstream::call_with_headers(&state.store, call, timeout).await?;
-    let told = state.platform.read_era(&answer.headers);
-    let era = accept_answer_era(state, &told)?;
+    let answered = state.platform.read_era(&answer.headers);
+    let era = accept_answer_era(state, &answered)?;
     Ok((era, answer))
 }
--- a/crates/gateway/src/store/configuration_reader.rs
+++ b/crates/gateway/src/store/configuration_reader.rs
@@ -68,19 +68,19 @@
             until_read_needed(&state).await;
             continue;
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let has_read = read(&state, &mut is_reachable).await;
         state.refresh_readiness();
         if !has_read {
             failures += 1;
             state.store_outage.begin();
-            let pause = backoff_after_call(failures, began.elapsed());
+            let pause = backoff_after_call(failures, started_at.elapsed());
             state.store_outage.wait(pause).await;
             until_retry(&state).await;
             continue;
         }
         failures = 0;
-        if !state.currency.is_within(began.elapsed()) {
+        if !state.currency.is_within(started_at.elapsed()) {
             // Every request asks for a proof, which the store can't provide until the operator writes a newer version.
             tokio::time::sleep(UNPROVEN_READ_DELAY).await;
         }
@@ -133,8 +133,8 @@
             apply_configuration(state, object);
         }
         if has_version(state, newer.version) {
-            // Even if the store already has a later version: the proof shows that this one was the newest when the proof's read
-            // began.
+            // If the read returned a still later version, the proof holds for it too: `newer` was the newest version when the
+            // proof's read started.
             state
                 .currency
                 .prove(state.configuration_version(), newer.proof);
@@ -169,9 +169,9 @@
 /// Whether this gateway leaves the proof to those that may call the store: while the store is down for all, every request asks
 /// for a proof. Otherwise the store may be failing only those few, and this gateway reads for itself.
 fn is_proof_left_to_others(state: &GatewayState) -> bool {
-    let reads = state.peers.is_reader.get() || state.peers.may_read.get();
+    let may_call_store = state.peers.is_reader.get() || state.peers.may_read.get();
     let down_at = state.weights.borrow().last_store_down_at();
-    !reads && down_at.is_some_and(|at| at.elapsed() < STORE_DOWN_RETENTION)
+    !may_call_store && down_at.is_some_and(|at| at.elapsed() < STORE_DOWN_RETENTION)
 }
 
 /// Probes whether the store fails this gateway too, by a read of possibly old data, which costs the store a tenth of a current
@@ -210,14 +210,17 @@
 async fn read(state: &Rc<GatewayState>, is_reachable: &mut bool) -> bool {
     let listing = || list_all(state, ObjectKind::Configuration);
     let highest = state.currency.highest();
-    let (began, result) = state.store_outage.call(listing).await;
+    let (started_at, result) = state.store_outage.call(listing).await;
     match result {
         Ok((objects, position)) => {
             for object in objects {
                 apply_configuration(state, object);
             }
             let position = Some(position);
-            let proof = Proof { began, position };
+            let proof = Proof {
+                started_at,
+                position,
+            };
             state.currency.prove(state.configuration_version(), proof);
             if state.configuration_version() < highest {
                 state.currency.note_lost_version(highest);
@@ -225,7 +228,7 @@
             let was_lost = note_store_regained(state, is_reachable);
             // After an outage the view is proved by listing the replicas again: watches from before may never be answered.
             if !was_lost && state.peers.is_reader.get() && state.peers.follows_replicas.get() {
-                state.peers.prove_view(began);
+                state.peers.prove_view(started_at);
             }
             true
         }
--- a/crates/gateway/src/store/copied_entries.rs
+++ b/crates/gateway/src/store/copied_entries.rs
@@ -52,8 +52,8 @@
 /// Records the store position of a replica's entry: an entry written after the first answer of its era does not come from the
 /// copy, so it is no longer held back.
 pub(super) fn note_written(state: &GatewayState, id: &str, position: StorePosition) {
-    let begin = state.store_era_start.get();
-    if position.era == begin.era && position.revision > begin.revision {
+    let start = state.store_era_start.get();
+    if position.era == start.era && position.revision > start.revision {
         state.gone_lives.borrow_mut().forget(id);
     }
 }
--- a/crates/gateway/src/store/era.rs
+++ b/crates/gateway/src/store/era.rs
@@ -218,9 +218,9 @@
 fn adopt_later_era(state: &GatewayState, era: StoreEra, source: &str) {
     let before = state.store_eras.known();
     let is_change = state.store_eras.advance(era, Instant::now());
-    let begin = StorePosition::unnamed(0).in_era(era);
+    let start = StorePosition::unnamed(0).in_era(era);
     let mut lease = state.lease.borrow_mut();
-    lease.on_store_position(state.now(), begin);
+    lease.on_store_position(state.now(), start);
     drop(lease);
     let number = era.number().and_then(|number| i64::try_from(number).ok());
     let metrics = &state.status.metrics;
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -56,24 +56,24 @@
         apply_list(&state, kind, objects, StorePosition::default());
     }
     let mut failures = 0;
-    let mut listed_in = state.store_eras.changes();
+    let mut changes_at_list = state.store_eras.changes();
     loop {
         state.peers.until_reader().await;
-        let is_of_other_era = state.store_eras.changes() != listed_in;
-        if is_list_deferrable(&state, kind) && !is_of_other_era {
+        let has_era_changed = state.store_eras.changes() != changes_at_list;
+        if is_list_deferrable(&state, kind) && !has_era_changed {
             tokio::time::sleep(DEFERRED_LIST_DELAY).await;
             if !state.peers.is_reader.get() {
                 continue;
             }
         }
         let listing = || list_all(&state, kind);
-        let (began, result) = state.store_outage.call(listing).await;
+        let (started_at, result) = state.store_outage.call(listing).await;
         match result {
             Ok((objects, position)) => {
                 failures = 0;
-                listed_in = state.store_eras.changes();
+                changes_at_list = state.store_eras.changes();
                 apply_list(&state, kind, objects, position);
-                note_following(&state, kind, Some(began));
+                note_following(&state, kind, Some(started_at));
                 tokio::select! {
                     error = watch_from(&state, kind, position) => {
                         log::debug!("watch of {kind:?} ended: {error}");
--- a/crates/gateway/src/store/follow_weights.rs
+++ b/crates/gateway/src/store/follow_weights.rs
@@ -34,10 +34,10 @@
         return;
     }
     // The time of the watch's answer is not the time of the naming: an earlier answer may have been lost, or this process may
-    // have been suspended (requests began on older weights 8.5 s after a naming, where 7 s are allowed).
+    // have been suspended (requests started on older weights 8.5 s after a naming, where 7 s are allowed).
     let since = named_after(state, position);
     let since = since.unwrap_or_else(Instant::now);
-    name_weights(state, weights, Since::Known(since));
+    record_wanted_weights(state, weights, Since::Known(since));
 }
 
 /// Applies a list of wanted weights.
@@ -75,9 +75,9 @@
     if newest >= Some(weights.version) {
         return;
     }
-    name_weights(state, weights, named_after.map_or(fallback, Since::Known));
+    record_wanted_weights(state, weights, named_after.map_or(fallback, Since::Known));
     if let Some(skipped_version) = skipped_version(weights, newest.or(first_version(state))) {
-        name_weights(state, &skipped_version, since_last_known(state, fallback));
+        record_wanted_weights(state, &skipped_version, since_last_known(state, fallback));
     }
 }
 
@@ -142,7 +142,10 @@
 /// the first list of a model counts as complete, without skipped versions.
 fn first_version(state: &GatewayState) -> Option<u64> {
     let progress = state.store_progress.borrow();
-    state.known_namings.until(&progress).map(|_| FIRST_VERSION)
+    state
+        .known_namings
+        .known_until(&progress)
+        .map(|_| FIRST_VERSION)
 }
 
 /// The oldest version that was named between the newest known one and `listed`; versions increase by one.
@@ -158,7 +161,7 @@
 /// `fallback` if there is no such time. That its naming was not seen must not let older weights serve longer.
 fn since_last_known(state: &GatewayState, fallback: Since) -> Since {
     let progress = state.store_progress.borrow();
-    let known_until = state.known_namings.until(&progress);
+    let known_until = state.known_namings.known_until(&progress);
     known_until.map_or(fallback, Since::Known)
 }
 
@@ -169,8 +172,8 @@
     // If the store did not answer at first, nothing could be loaded before it did; and a gateway that lists weights late
     // after its start has learned of them from others.
     let now = Instant::now();
-    let was_in_trouble = state.store_outage.had_recent_failure(now);
-    let listing_possible_for = match was_in_trouble || state.now() > STARTUP_WINDOW {
+    let had_recent_failure = state.store_outage.had_recent_failure(now);
+    let listing_possible_for = match had_recent_failure || state.now() > STARTUP_WINDOW {
         true => Duration::ZERO,
         false => state.now(),
     };
@@ -195,7 +198,7 @@
 }
 
 /// Records weights that are wanted since `since`.
-pub fn name_weights(state: &GatewayState, weights: &ModelVersion, since: Since) {
+pub fn record_wanted_weights(state: &GatewayState, weights: &ModelVersion, since: Since) {
     let age = since.moment().elapsed();
     let is_newest = state.weights.borrow_mut().add(weights, since);
     state.weights_updated.notify_waiters();
--- a/crates/gateway/src/store/join.rs
+++ b/crates/gateway/src/store/join.rs
@@ -21,7 +21,7 @@
 /// Adds this gateway's entry to the store. A restarted gateway learns the others from a list that may be seconds old; at the
 /// first start of a site they are not listed yet, and are learned from the seeds, which read the store. Returns false if the
 /// store did not answer; then the others are known from the seeds, and this one only to those it contacts.
-pub async fn join_daemons(state: &Rc<GatewayState>) -> bool {
+pub async fn register_gateway(state: &Rc<GatewayState>) -> bool {
     let listing = match state.settings.is_first_start {
         true => OwnListing::Unlisted,
         false => learn_others(state).await,
@@ -33,7 +33,7 @@
         OwnListing::Unknown => false,
     };
     if !is_listed {
-        ntex::rt::spawn(retry_joining(Rc::clone(state)));
+        ntex::rt::spawn(retry_registration(Rc::clone(state)));
         return false;
     }
     if state.settings.is_first_start && !is_seed(state) {
@@ -112,7 +112,7 @@
 }
 
 /// Writes this gateway's entry as soon as the store answers, unless it is listed by then.
-async fn retry_joining(state: Rc<GatewayState>) {
+async fn retry_registration(state: Rc<GatewayState>) {
     let own = state.peers.own().name.clone();
     loop {
         tokio::time::sleep(FIRST_START_DELAY).await;
--- a/crates/gateway/src/store/known_namings.rs
+++ b/crates/gateway/src/store/known_namings.rs
@@ -37,7 +37,7 @@
     }
 
     /// The latest time up to which all namings are known; `progress` maps store positions to times.
-    pub fn until(&self, progress: &StoreProgress) -> Option<Instant> {
+    pub fn known_until(&self, progress: &StoreProgress) -> Option<Instant> {
         let read = progress.last_read_up_to(self.read.get());
         read.max(self.told.get())
     }
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -20,8 +20,10 @@
     AnswerEra, EraVerdict, LOWER_ERA_REJECTION_WINDOW, StoreEraTracker, adopt_peer_era, judge_era,
 };
 pub use follow::apply_handed_on_configuration;
-pub use follow_weights::{initial_weights_age, name_weights, note_shown_weights, suspect_weights};
-pub use join::join_daemons;
+pub use follow_weights::{
+    initial_weights_age, note_shown_weights, record_wanted_weights, suspect_weights,
+};
+pub use join::register_gateway;
 pub use known_namings::KnownNamings;
 pub use outage::{StoreOutage, backoff_after, backoff_after_call};
 pub use position::{StoreEra, StorePosition};
--- a/crates/gateway/src/store/outage.rs
+++ b/crates/gateway/src/store/outage.rs
@@ -42,10 +42,10 @@
 #[derive(Debug, Default)]
 pub struct StoreOutage {
     is_active: Cell<bool>,
-    answering: Notify,
+    recovered: Notify,
     ended: Notify,
-    failed_call_began: Cell<Option<Instant>>,
-    failed_list_began: Cell<Option<Instant>>,
+    failed_call_started_at: Cell<Option<Instant>>,
+    failed_list_started_at: Cell<Option<Instant>>,
 }
 
 impl StoreOutage {
@@ -59,7 +59,7 @@
         if self.is_active.replace(false) {
             self.ended.notify_waiters();
         }
-        self.answering.notify_waiters();
+        self.recovered.notify_waiters();
     }
 
     /// Whether the last read of the configuration failed and no gateway has announced the store's return since.
@@ -70,8 +70,8 @@
     /// When the store was last seen to be down, if this gateway has not seen the end of the outage yet: the start of the last
     /// failed call. Such a call may stay pending after the store is back, so its end proves nothing.
     pub fn last_seen_down_at(&self) -> Option<Instant> {
-        let failed_call_began = self.failed_call_began.get();
-        failed_call_began.filter(|_| self.is_active.get())
+        let failed_call_started_at = self.failed_call_started_at.get();
+        failed_call_started_at.filter(|_| self.is_active.get())
     }
 
     /// Waits until an outage ends that this gateway has seen itself. Calls that are still pending from before may never be
@@ -80,28 +80,30 @@
         self.ended.notified().await;
     }
 
-    /// Records the failure of a call that started at `began`.
-    pub fn note_failure(&self, began: Instant) {
-        let latest = self.failed_call_began.get().max(Some(began));
-        self.failed_call_began.set(latest);
+    /// Records the failure of a call that started at `started_at`.
+    pub fn note_failure(&self, started_at: Instant) {
+        let latest = self.failed_call_started_at.get().max(Some(started_at));
+        self.failed_call_started_at.set(latest);
     }
 
     /// When this gateway's own last failed list started. Other failures are weaker evidence: a watch may be cut off at any time,
     /// and a store that is up refuses calls beyond its rate.
     pub fn list_failed_at(&self) -> Option<Instant> {
-        self.failed_list_began.get()
+        self.failed_list_started_at.get()
     }
 
-    /// Records the failure of a list that started at `began`.
-    pub fn note_failed_list(&self, began: Instant) {
-        let latest = self.failed_list_began.get().max(Some(began));
-        self.failed_list_began.set(latest);
+    /// Records the failure of a list that started at `started_at`.
+    pub fn note_failed_list(&self, started_at: Instant) {
+        let latest = self.failed_list_started_at.get().max(Some(started_at));
+        self.failed_list_started_at.set(latest);
     }
 
     /// Whether a call failed so recently that pending answers may be lost.
     pub fn had_recent_failure(&self, now: Instant) -> bool {
-        let began = self.failed_call_began.get();
-        began.is_some_and(|began| now.saturating_duration_since(began) < LOST_ANSWER_WINDOW)
+        let started_at = self.failed_call_started_at.get();
+        started_at.is_some_and(|started_at| {
+            now.saturating_duration_since(started_at) < LOST_ANSWER_WINDOW
+        })
     }
 
     /// The delay of a task that follows objects after `failures` consecutive failed lists.
@@ -116,7 +118,7 @@
     pub async fn wait(&self, pause: Duration) {
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = self.answering.notified() => {}
+            () = self.recovered.notified() => {}
         }
     }
 
@@ -128,10 +130,10 @@
     /// Makes a call, and repeats it if the store's return is announced meanwhile: the first call may have been sent while the
     /// store was down, and may never be answered. Returns the start of the call that gave the result.
     pub async fn call<R, F: Future<Output = R>>(&self, call: impl Fn() -> F) -> (Instant, R) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         tokio::select! {
-            result = call() => (began, result),
-            () = self.answering.notified() => (Instant::now(), call().await),
+            result = call() => (started_at, result),
+            () = self.recovered.notified() => (Instant::now(), call().await),
         }
     }
 }
--- a/crates/gateway/src/store/progress.rs
+++ b/crates/gateway/src/store/progress.rs
@@ -23,24 +23,32 @@
 /// A read of the store.
 #[derive(Debug, Clone, Copy)]
 struct Read {
-    began: Instant,
+    started_at: Instant,
     /// The store's position when it answered.
     position: StorePosition,
 }
 
 impl StoreProgress {
-    /// Records the position returned by a read that started at `began`.
-    pub fn note(&mut self, began: Instant, position: StorePosition) {
+    /// Records the position returned by a read that started at `started_at`.
+    pub fn note(&mut self, started_at: Instant, position: StorePosition) {
         // Each position is stored once: a gateway hears of the same read many times, which must not displace other reads.
         let known = self.reads.iter().position(|read| read.position == position);
         if let Some(known) = known {
-            if self.reads[known].began >= began {
+            if self.reads[known].started_at >= started_at {
                 return;
             }
             self.reads.remove(known);
         }
-        let place = self.reads.partition_point(|read| read.began <= began);
-        self.reads.insert(place, Read { began, position });
+        let place = self
+            .reads
+            .partition_point(|read| read.started_at <= started_at);
+        self.reads.insert(
+            place,
+            Read {
+                started_at,
+                position,
+            },
+        );
         while self.reads.len() > MAX_READS {
             self.reads.pop_front();
         }
@@ -50,7 +58,7 @@
     pub fn last_read_before_era(&self, era: StoreEra) -> Option<Instant> {
         let mut reads = self.reads.iter().rev();
         let last = reads.find(|read| read.position.era < era)?;
-        Some(last.began)
+        Some(last.started_at)
     }
 
     /// The latest time at which the store is known not to have advanced beyond `position`, if any.
@@ -58,7 +66,7 @@
         let mut reads = self.reads.iter().rev();
         let last = reads
             .find(|read| read.position == position || read.position.is_before_in_era(position))?;
-        Some(last.began)
+        Some(last.started_at)
     }
 
     /// The latest time at which the store is known not to have reached `position`, if any.
@@ -67,6 +75,6 @@
         let last = before
             .into_iter()
             .find(|read| read.position.is_before_in_era(position))?;
-        Some(last.began)
+        Some(last.started_at)
     }
 }
--- a/crates/gateway/src/store/quarantine.rs
+++ b/crates/gateway/src/store/quarantine.rs
@@ -28,8 +28,8 @@
 use crate::state::GatewayState;
 use crate::upstream::{self, Pool};
 
-/// Base delay before the retry of a write or of the deletions; it doubles with each consecutive failure.
-const MIN_RETRY_DELAY: Duration = Duration::from_millis(1000);
+/// Base delay before the retry of a write or of the deletions, doubled with each consecutive failure, including the first.
+const RETRY_BASE_DELAY: Duration = Duration::from_millis(1000);
 
 /// How often the delay doubles: a store that stays down is called every 8 s by three gateways for each record.
 const MAX_RETRY_DOUBLINGS: u32 = 3;
@@ -113,7 +113,7 @@
             return;
         }
         self.failures = (self.failures + 1).min(MAX_RETRY_DOUBLINGS);
-        self.until = now + MIN_RETRY_DELAY * (1 << self.failures);
+        self.until = now + RETRY_BASE_DELAY * (1 << self.failures);
     }
 }
 
@@ -137,7 +137,7 @@
             let is_done = remove_all(&state).await;
             removal_backoff.note(is_done, state.quarantine.now());
         }
-        for fingerprint in note_unstored(&state, &mut unstored) {
+        for fingerprint in update_unstored(&state, &mut unstored) {
             let is_done = store_one(&state, fingerprint).await;
             if let Some(unstored) = unstored.get_mut(&fingerprint) {
                 unstored.backoff.note(is_done, state.quarantine.now());
@@ -162,7 +162,7 @@
 }
 
 /// Updates the list of records that are not in the store yet; returns those that it is this gateway's turn to write.
-fn note_unstored(
+fn update_unstored(
     state: &GatewayState,
     unstored: &mut HashMap<Fingerprint, Unstored>,
 ) -> Vec<Fingerprint> {
@@ -187,8 +187,8 @@
         |fingerprint: Fingerprint| home_rank(&directory, fingerprint, state.peers.own());
     let unstored = unstored.iter();
     let due = unstored.filter(|(fingerprint, unstored)| {
-        let lacking_for = now.saturating_sub(unstored.since);
-        unstored.backoff.has_elapsed(now) && is_write_turn(own_place(**fingerprint), lacking_for)
+        let unstored_for = now.saturating_sub(unstored.since);
+        unstored.backoff.has_elapsed(now) && is_write_turn(own_place(**fingerprint), unstored_for)
     });
     due.map(|(fingerprint, _)| *fingerprint).collect()
 }
@@ -209,7 +209,7 @@
     let mut answer = write(state, ObjectKind::Quarantine, &name, &content, expected).await;
     if let WriteAnswer::Conflict(found) = answer {
         if let Some(found) = &found
-            && is_superseded_by(state, fingerprint, found, &wanted)
+            && resolve_conflict(state, fingerprint, found, &wanted)
         {
             return true;
         }
@@ -239,7 +239,7 @@
 }
 
 /// Handles an object that exists in place of a record to be written; returns whether nothing is left to be written.
-fn is_superseded_by(
+fn resolve_conflict(
     state: &GatewayState,
     fingerprint: Fingerprint,
     found: &StoredObject,
@@ -357,10 +357,10 @@
         ..Record::default()
     };
     let role = role(&state.peers.directory(), fingerprint, state.peers.own());
-    let has_news = state
+    let has_changes = state
         .quarantine
         .merge_record(fingerprint, record, role, RecordSource::Store);
-    if has_news {
+    if has_changes {
         state.peers.announce_changes();
     }
 }
--- a/crates/gateway/src/weights.rs
+++ b/crates/gateway/src/weights.rs
@@ -99,23 +99,23 @@
     /// replaces an assumed one. A version that is reported after a newer one is inserted in order.
     pub fn add(&mut self, weights: &ModelVersion, since: Since) -> bool {
         let versions = self.by_model.entry(weights.model.clone()).or_default();
-        let place = versions.partition_point(|known| known.version < weights.version);
-        let own = versions
-            .get(place)
-            .filter(|own| own.version == weights.version);
-        let is_known = own.is_some();
-        if own.is_some_and(|own| !own.since.is_assumed() || since.is_assumed()) {
+        let index = versions.partition_point(|known| known.version < weights.version);
+        let existing = versions
+            .get(index)
+            .filter(|existing| existing.version == weights.version);
+        let is_known = existing.is_some();
+        if existing.is_some_and(|existing| !existing.since.is_assumed() || since.is_assumed()) {
             return false;
         }
-        let next = versions.get(place + usize::from(is_known));
+        let next = versions.get(index + usize::from(is_known));
         let since = next.map_or(since, |next| since.no_later_than(next.moment()));
         if is_known {
-            versions[place].since = since;
+            versions[index].since = since;
             return false;
         }
         let version = weights.version;
-        versions.insert(place, WantedVersion { version, since });
-        let is_newest = place + 1 == versions.len();
+        versions.insert(index, WantedVersion { version, since });
+        let is_newest = index + 1 == versions.len();
         prune_versions(versions);
         is_newest
     }
