--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -22,10 +22,10 @@
 const CLOCK: ClockId = ClockId::CLOCK_MONOTONIC;
 
 /// Where the boot of the machine lies on this clock, so that ages longer than that have a begin too.
-const BOOT: Duration = Duration::from_secs(10 * 365 * 24 * 3600);
+const BOOT_OFFSET: Duration = Duration::from_secs(10 * 365 * 24 * 3600);
 
-/// How long this process is taken to have been suspended, in nanoseconds; see [`suspend`].
-static SUSPENDED_NANOS: AtomicU64 = AtomicU64::new(0);
+/// How long this process is taken to have been suspended, in nanoseconds; see [`simulate_suspension`].
+static SIMULATED_SUSPENSION_NANOS: AtomicU64 = AtomicU64::new(0);
 
 /// A moment of the steady clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -36,8 +36,8 @@
     pub fn now() -> Self {
         // Every Linux since 2.6.39 has the clock; without it nothing here can be counted at all.
         let now = clock_gettime(CLOCK).map(Duration::from).unwrap_or_default();
-        let suspended = Duration::from_nanos(SUSPENDED_NANOS.load(Ordering::Relaxed));
-        Self(BOOT + now + suspended)
+        let suspended = Duration::from_nanos(SIMULATED_SUSPENSION_NANOS.load(Ordering::Relaxed));
+        Self(BOOT_OFFSET + now + suspended)
     }
 
     /// The time since this moment.
@@ -108,7 +108,7 @@
 }
 
 /// Lets this process believe that its machine was suspended for so long just now. For tests only.
-pub fn suspend(time: Duration) {
+pub fn simulate_suspension(time: Duration) {
     let nanos = u64::try_from(time.as_nanos()).unwrap_or(u64::MAX);
-    SUSPENDED_NANOS.fetch_add(nanos, Ordering::Relaxed);
+    SIMULATED_SUSPENSION_NANOS.fetch_add(nanos, Ordering::Relaxed);
 }
--- a/crates/gateway/src/cache/holders.rs
+++ b/crates/gateway/src/cache/holders.rs
@@ -92,11 +92,11 @@
             holdings.retain(|holding| holding.is_fresh(now));
             let known = holdings
                 .iter_mut()
-                .find(|holding| holding.replica == replica.life_hash);
+                .find(|holding| holding.replica == replica.incarnation_hash);
             match known {
                 Some(known) => {
                     known.used_at = now;
-                    known.given_then = replica.given_tokens();
+                    known.given_then = replica.assigned_prompt_tokens();
                     known.ready_at = known.ready_at.min(ready_at);
                 }
                 None => {
@@ -104,10 +104,10 @@
                         forget_oldest(holdings);
                     }
                     holdings.push(Holding {
-                        replica: replica.life_hash,
+                        replica: replica.incarnation_hash,
                         ready_at,
                         used_at: now,
-                        given_then: replica.given_tokens(),
+                        given_then: replica.assigned_prompt_tokens(),
                     });
                 }
             }
@@ -119,7 +119,7 @@
         let mut by_prefix = self.by_prefix.borrow_mut();
         for prefix in prefixes {
             if let Some(holdings) = by_prefix.get_mut(&prefix.key) {
-                holdings.retain(|holding| holding.replica != replica.life_hash);
+                holdings.retain(|holding| holding.replica != replica.incarnation_hash);
             }
         }
     }
@@ -151,9 +151,11 @@
             let holdings = by_prefix.get(&prefix.key).map_or(&[][..], Vec::as_slice);
             let mut of_replica = holdings
                 .iter()
-                .filter(|holding| holding.replica == replica.life_hash);
+                .filter(|holding| holding.replica == replica.incarnation_hash);
             of_replica.any(|holding| {
-                let given_since = replica.given_tokens().saturating_sub(holding.given_then);
+                let given_since = replica
+                    .assigned_prompt_tokens()
+                    .saturating_sub(holding.given_then);
                 holding.is_fresh(now)
                     && given_since <= kept_tokens
                     && (!is_read || holding.ready_at <= now)
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::{Registry, Unit};
 
-use crate::replicas::Begun;
+use crate::replicas::MeasuredWait;
 
 /// The labels of the counter of invalid input.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -324,7 +324,7 @@
     }
 
     /// Records how long a request was queued at its replica, compared with the expected time.
-    pub fn note_begun(&self, begun: &Begun) {
+    pub fn note_begun(&self, begun: &MeasuredWait) {
         self.begin_wait.observe(begun.wait);
         match begun.wait.checked_sub(begun.expected) {
             Some(excess) => self.begin_wait_excess.observe(excess),
--- a/crates/gateway/src/notices/limit.rs
+++ b/crates/gateway/src/notices/limit.rs
@@ -15,19 +15,19 @@
     /// When the request was sent.
     pub sent_at: Instant,
     /// When the answer came.
-    pub heard_at: Instant,
+    pub received_at: Instant,
 }
 
 impl LimitNotice {
-    /// What holds once `told` is heard after this one. Where the order of the two is not known, the lower limit holds.
-    pub fn followed_by(self, told: Self) -> Self {
-        match (self.rate, told.rate) {
-            (Some(_), None) if told.sent_at > self.heard_at => told,
-            (None, Some(_)) if told.heard_at >= self.sent_at => told,
+    /// What holds once `later` is heard after this one. Where the order of the two is not known, the lower limit holds.
+    pub fn combine(self, later: Self) -> Self {
+        match (self.rate, later.rate) {
+            (Some(_), None) if later.sent_at > self.received_at => later,
+            (None, Some(_)) if later.received_at >= self.sent_at => later,
             (Some(known), Some(rate)) => Self {
-                heard_at: self.heard_at.max(told.heard_at),
-                ..match told.sent_at >= self.sent_at || rate < known {
-                    true => told,
+                received_at: self.received_at.max(later.received_at),
+                ..match later.sent_at >= self.sent_at || rate < known {
+                    true => later,
                     false => self,
                 }
             },
--- a/crates/gateway/src/notices/mod.rs
+++ b/crates/gateway/src/notices/mod.rs
@@ -5,18 +5,18 @@
 //!
 //! - [`limit`]: how many requests a second a replica takes.
 //! - [`replica_notices`]: all that one life has said.
-//! - [`news`]: what other daemons are to be told.
+//! - [`changed_notices`]: what other daemons are to be told.
 //! - [`survey`]: which replicas have said something.
-//! - `take`: takes the notices of an answer in.
+//! - `record`: takes the notices of an answer in.
 
+pub mod changed_notices;
 pub mod limit;
-pub mod news;
+mod record;
 pub mod replica_notices;
 pub mod survey;
-mod take;
 
+pub use changed_notices::ChangedNotices;
 pub use limit::LimitNotice;
-pub use news::NoticeNews;
-pub use replica_notices::{Pause, PauseCause, ReplicaNotices, Rest};
+pub use record::{NoticeSource, record_answer, record_leaving, record_limit};
+pub use replica_notices::{Cooldown, Pause, PauseCause, ReplicaNotices};
 pub use survey::NoticeSurvey;
-pub use take::{Teller, note_answer, note_leaving, note_limit};
--- a/crates/gateway/src/notices/take.rs
+++ b/crates/gateway/src/notices/record.rs
@@ -8,7 +8,7 @@
 use driftspring_telemetry::log_event;
 
 use super::limit::LimitNotice;
-use super::replica_notices::Rest;
+use super::replica_notices::Cooldown;
 use crate::protocol::{AnswerMeta, HeaderField, RequestRate, UnreadableReason};
 use crate::replicas::Replica;
 use crate::state::GatewayState;
@@ -16,7 +16,7 @@
 
 /// Who tells of a notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Teller {
+pub enum NoticeSource {
     /// An answer of the replica to this daemon.
     Answer,
     /// Another daemon.
@@ -24,7 +24,7 @@
 }
 
 /// Takes in what the head of an answer to the request `request_id`, which was sent at `sent_at`, says of its replica.
-pub fn note_answer(
+pub fn record_answer(
     state: &GatewayState,
     request_id: &str,
     replica: &Rc<Replica>,
@@ -34,26 +34,26 @@
     if !is_of_replica(request_id, replica, answer) {
         return;
     }
-    note_answered_limit(state, replica, answer, sent_at);
+    record_answered_limit(state, replica, answer, sent_at);
     match &answer.is_leaving {
-        HeaderField::Value(true) => note_leaving(state, replica, Teller::Answer),
+        HeaderField::Value(true) => record_leaving(state, replica, NoticeSource::Answer),
         HeaderField::Value(false) | HeaderField::Absent => {}
         HeaderField::Unreadable(cause) => reject(state, replica, cause),
     }
     match &answer.rest {
-        HeaderField::Value(time) => note_rest(replica, *time),
+        HeaderField::Value(time) => record_cooldown(replica, *time),
         HeaderField::Absent => {}
         HeaderField::Unreadable(cause) => reject(state, replica, cause),
     }
 }
 
-fn note_rest(replica: &Replica, time: Duration) {
-    let heard_at = Instant::now();
-    let rest = Rest {
-        heard_at,
-        until: heard_at + time,
+fn record_cooldown(replica: &Replica, time: Duration) {
+    let received_at = Instant::now();
+    let cooldown = Cooldown {
+        received_at,
+        until: received_at + time,
     };
-    if replica.notices.note_rest(rest) {
+    if replica.notices.record_cooldown(cooldown) {
         log_event!(
             gateway::REPLICA_ASKED_FOR_REST,
             "replica={} rest={time:?}",
@@ -63,17 +63,17 @@
 }
 
 /// Takes in that a replica says that it is leaving.
-pub fn note_leaving(state: &GatewayState, replica: &Rc<Replica>, teller: Teller) {
-    if !replica.notices.note_leaving() {
+pub fn record_leaving(state: &GatewayState, replica: &Rc<Replica>, source: NoticeSource) {
+    if !replica.notices.record_leaving() {
         return;
     }
     let id = replica.id();
     log_event!(
         gateway::REPLICA_SAID_LEAVING,
-        "replica={id} told_by={teller:?}"
+        "replica={id} told_by={source:?}"
     );
-    if teller == Teller::Answer {
-        state.notice_news.note(replica);
+    if source == NoticeSource::Answer {
+        state.changed_notices.add(replica);
     }
 }
 
@@ -83,20 +83,25 @@
 }
 
 /// Takes in what a replica says of its limit.
-pub fn note_limit(state: &GatewayState, replica: &Rc<Replica>, told: LimitNotice, teller: Teller) {
+pub fn record_limit(
+    state: &GatewayState,
+    replica: &Rc<Replica>,
+    notice: LimitNotice,
+    source: NoticeSource,
+) {
     let before = replica.notices.limit();
-    if !replica.notices.note_limit(told) {
+    if !replica.notices.record_limit(notice) {
         return;
     }
     log_event!(
         gateway::REPLICA_LIMIT_CHANGED,
-        "replica={} before={} limit={} told_by={teller:?}",
+        "replica={} before={} limit={} told_by={source:?}",
         replica.id(),
         describe(before),
         describe(replica.notices.limit())
     );
-    if teller == Teller::Answer {
-        state.notice_news.note(replica);
+    if source == NoticeSource::Answer {
+        state.changed_notices.add(replica);
     }
 }
 
@@ -115,7 +120,7 @@
     limit.map_or_else(|| "none".to_owned(), |rate| rate.to_string())
 }
 
-fn note_answered_limit(
+fn record_answered_limit(
     state: &GatewayState,
     replica: &Rc<Replica>,
     answer: &AnswerMeta,
@@ -130,10 +135,10 @@
             return reject(state, replica, cause);
         }
     };
-    let told = LimitNotice {
+    let notice = LimitNotice {
         rate,
         sent_at,
-        heard_at: Instant::now(),
+        received_at: Instant::now(),
     };
-    note_limit(state, replica, told, Teller::Answer);
+    record_limit(state, replica, notice, NoticeSource::Answer);
 }
--- a/crates/gateway/src/notices/replica_notices.rs
+++ b/crates/gateway/src/notices/replica_notices.rs
@@ -12,19 +12,19 @@
 use crate::protocol::RequestRate;
 
 /// The shortest pause after a permit was not given: its request goes elsewhere in that time.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(20);
+const MIN_PERMIT_PAUSE: Duration = Duration::from_millis(20);
 
 /// The time between two lines that tell that the same replica was passed over.
-const BETWEEN_LINES: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The share of a pause over which the returns are spread.
-const SPREAD_SHARE: f64 = 0.25;
+const PAUSE_JITTER: f64 = 0.25;
 
 /// A time in which a replica wants no requests from this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rest {
+pub struct Cooldown {
     /// When the latest answer came that asked for it.
-    pub heard_at: Instant,
+    pub received_at: Instant,
     /// When it ends.
     pub until: Instant,
 }
@@ -34,9 +34,9 @@
 pub struct ReplicaNotices {
     limit: Cell<Option<LimitNotice>>,
     /// When it is worth asking for a permit again.
-    permits_at: Cell<Option<Instant>>,
-    said_leaving: Cell<bool>,
-    rest: Cell<Option<Rest>>,
+    permit_retry_at: Cell<Option<Instant>>,
+    has_announced_leaving: Cell<bool>,
+    cooldown: Cell<Option<Cooldown>>,
     passed_over_logged_at: Cell<Option<Instant>>,
 }
 
@@ -57,14 +57,14 @@
     /// It takes so many requests a second, and these are spent.
     Limit(RequestRate),
     /// It turned a request of this daemon away and wants no others for a while.
-    Rest,
+    Cooldown,
 }
 
 impl fmt::Display for PauseCause {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Limit(rate) => write!(formatter, "limit:{rate}"),
-            Self::Rest => formatter.write_str("rest"),
+            Self::Cooldown => formatter.write_str("rest"),
         }
     }
 }
@@ -76,32 +76,32 @@
     }
 
     /// Whether the replica has said that it is leaving.
-    pub fn has_said_leaving(&self) -> bool {
-        self.said_leaving.get()
+    pub fn has_announced_leaving(&self) -> bool {
+        self.has_announced_leaving.get()
     }
 
     /// Takes in that it has; true where that is news. A life that leaves never stays after all.
-    pub fn note_leaving(&self) -> bool {
-        !self.said_leaving.replace(true)
+    pub fn record_leaving(&self) -> bool {
+        !self.has_announced_leaving.replace(true)
     }
 
     /// Takes in that it wants no requests from this daemon until then; the latest end holds. True where a line may tell it.
-    pub fn note_rest(&self, rest: Rest) -> bool {
-        let known = self.rest.get();
-        if known.is_none_or(|known| known.until < rest.until) {
-            self.rest.set(Some(rest));
+    pub fn record_cooldown(&self, cooldown: Cooldown) -> bool {
+        let known = self.cooldown.get();
+        if known.is_none_or(|known| known.until < cooldown.until) {
+            self.cooldown.set(Some(cooldown));
         }
-        known.is_none_or(|known| known.heard_at + BETWEEN_LINES <= rest.heard_at)
+        known.is_none_or(|known| known.received_at + LOG_INTERVAL <= cooldown.received_at)
     }
 
     /// Whether the replica has said anything.
-    pub fn is_any(&self) -> bool {
-        self.is_for_all_daemons() || self.rest.get().is_some()
+    pub fn has_any(&self) -> bool {
+        self.has_any_to_share() || self.cooldown.get().is_some()
     }
 
     /// Whether it has said anything that other daemons are to know: a rest is asked of one.
-    pub fn is_for_all_daemons(&self) -> bool {
-        self.limit().is_some() || self.has_said_leaving()
+    pub fn has_any_to_share(&self) -> bool {
+        self.limit().is_some() || self.has_announced_leaving()
     }
 
     /// The latest notice of a limit, or of its end.
@@ -111,41 +111,38 @@
 
     /// Why the replica gets no request at `now`; of two causes the one that holds longer.
     pub fn pause(&self, now: Instant) -> Option<Pause> {
-        let pauses = self
-            .pause_of_limit()
-            .into_iter()
-            .chain(self.pause_of_rest());
+        let pauses = self.limit_pause().into_iter().chain(self.cooldown_pause());
         let pauses = pauses.filter(|pause| now < pause.until);
         pauses.max_by_key(|pause| pause.until)
     }
 
     /// Whether the replica wants no requests from this daemon at `now`.
-    pub fn is_resting(&self, now: Instant) -> bool {
-        self.pause_of_rest().is_some_and(|pause| now < pause.until)
+    pub fn is_cooling_down(&self, now: Instant) -> bool {
+        self.cooldown_pause().is_some_and(|pause| now < pause.until)
     }
 
-    fn pause_of_limit(&self) -> Option<Pause> {
+    fn limit_pause(&self) -> Option<Pause> {
         let limit = self.limit.get()?;
         Some(Pause {
             cause: PauseCause::Limit(limit.rate?),
-            said_at: limit.heard_at,
-            until: self.permits_at.get()?,
+            said_at: limit.received_at,
+            until: self.permit_retry_at.get()?,
         })
     }
 
-    fn pause_of_rest(&self) -> Option<Pause> {
-        let rest = self.rest.get()?;
+    fn cooldown_pause(&self) -> Option<Pause> {
+        let cooldown = self.cooldown.get()?;
         Some(Pause {
-            cause: PauseCause::Rest,
-            said_at: rest.heard_at,
-            until: rest.until,
+            cause: PauseCause::Cooldown,
+            said_at: cooldown.received_at,
+            until: cooldown.until,
         })
     }
 
     /// Tells that the replica `id` was passed over, once a second at the most.
     pub fn log_passed_over(&self, id: &str, pause: &Pause, now: Instant) {
         let logged_at = self.passed_over_logged_at.get();
-        if logged_at.is_some_and(|at| now < at + BETWEEN_LINES) {
+        if logged_at.is_some_and(|at| now < at + LOG_INTERVAL) {
             return;
         }
         self.passed_over_logged_at.set(Some(now));
@@ -158,21 +155,21 @@
         );
     }
 
-    /// Takes in that no permit was given, and that it is worth asking again after `wait`; `draw`, from 0 to 1, keeps daemons that
+    /// Takes in that no permit was given, and that it is worth asking again after `wait`; `random_fraction`, from 0 to 1, keeps daemons that
     /// were denied together from coming back together.
-    pub fn pause_for_permits(&self, wait: Duration, draw: f64) {
-        let wait = wait.max(SHORTEST_PAUSE);
-        let wait = wait + wait.mul_f64(SPREAD_SHARE * draw);
-        self.permits_at.set(Some(Instant::now() + wait));
+    pub fn pause_for_permits(&self, wait: Duration, random_fraction: f64) {
+        let wait = wait.max(MIN_PERMIT_PAUSE);
+        let wait = wait + wait.mul_f64(PAUSE_JITTER * random_fraction);
+        self.permit_retry_at.set(Some(Instant::now() + wait));
     }
 
     /// Takes in what an answer says of the limit; true where another one is in force now.
-    pub fn note_limit(&self, told: LimitNotice) -> bool {
+    pub fn record_limit(&self, later: LimitNotice) -> bool {
         let known = self.limit.get();
         let next = match known {
-            Some(known) => known.followed_by(told),
-            None if told.rate.is_none() => return false,
-            None => told,
+            Some(known) => known.combine(later),
+            None if later.rate.is_none() => return false,
+            None => later,
         };
         self.limit.set(Some(next));
         known.and_then(|notice| notice.rate) != next.rate
--- a/crates/gateway/src/notices/survey.rs
+++ b/crates/gateway/src/notices/survey.rs
@@ -11,12 +11,12 @@
 use crate::replicas::{Registry, Replica};
 
 /// For how long a survey holds: it goes through all replicas, of which there may be ten thousand.
-pub const HOLDS_FOR: Duration = Duration::from_secs(1);
+pub const SURVEY_MAX_AGE: Duration = Duration::from_secs(1);
 
 /// The replicas that have said something of themselves.
 #[derive(Debug, Default)]
 pub struct NoticeSurvey {
-    taken_at: Cell<Option<Instant>>,
+    surveyed_at: Cell<Option<Instant>>,
     replicas: RefCell<Rc<Vec<Rc<Replica>>>>,
 }
 
@@ -24,11 +24,11 @@
     /// The replicas of `registry` that have, as of a second ago or later; counts them in `metrics`.
     pub fn replicas(&self, registry: &Registry, metrics: &GatewayMetrics) -> Rc<Vec<Rc<Replica>>> {
         let now = Instant::now();
-        let is_current = |at: Instant| now.saturating_duration_since(at) < HOLDS_FOR;
-        if !self.taken_at.get().is_some_and(is_current) {
-            self.taken_at.set(Some(now));
+        let is_current = |at: Instant| now.saturating_duration_since(at) < SURVEY_MAX_AGE;
+        if !self.surveyed_at.get().is_some_and(is_current) {
+            self.surveyed_at.set(Some(now));
             let all = registry.all().into_iter();
-            let with_notices = all.filter(|replica| replica.notices.is_any());
+            let with_notices = all.filter(|replica| replica.notices.has_any());
             self.replicas.replace(Rc::new(with_notices.collect()));
             self.count(metrics);
         }
@@ -46,9 +46,9 @@
             .set(count(|notices| notices.limit().is_some()));
         metrics
             .replicas_resting
-            .set(count(|notices| notices.is_resting(Instant::now())));
+            .set(count(|notices| notices.is_cooling_down(Instant::now())));
         metrics
             .replicas_leaving
-            .set(count(ReplicaNotices::has_said_leaving));
+            .set(count(ReplicaNotices::has_announced_leaving));
     }
 }
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -266,8 +266,8 @@
     let own = short_digest(&state.peers.own().name);
     for prompt in prompts.iter().filter(|prompt| prompt.sender != own) {
         if let Some(replica) = state.registry.current(&prompt.incarnation()) {
-            replica.note_prompt(prompt.tokens, now);
-            let ready_at = now + replica.reading(now);
+            replica.record_prompt(prompt.tokens, now);
+            let ready_at = now + replica.remaining_prefill(now);
             let prefixes = prompt.prefixes.iter().map(|key| PrefixKey(*key));
             state.holders.note(prefixes, &replica, ready_at, now);
         }
@@ -288,7 +288,7 @@
         let has_ended = status.is_done || status.has_failed;
         replica.set_loading((!has_ended).then(Instant::now));
         if status.is_done {
-            replica.note_version(&status.model, status.version);
+            replica.record_version(&status.model, status.version);
         }
     }
 }
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -53,7 +53,7 @@
     let mut chooser = SourceChooser::default();
     loop {
         state.apply_reloaded_settings();
-        state.forget_lapsed();
+        state.remove_lapsed();
         let directory = state.peers.directory();
         state.retry_budgets.set_gateways(directory.count);
         state
--- a/crates/gateway/src/peers/notices.rs
+++ b/crates/gateway/src/peers/notices.rs
@@ -12,8 +12,8 @@
 use super::news::send_to_other_groups;
 use super::send::send_to;
 use super::spread::spread;
-use crate::notices::survey::HOLDS_FOR;
-use crate::notices::{LimitNotice, Teller, note_leaving, note_limit};
+use crate::notices::survey::SURVEY_MAX_AGE;
+use crate::notices::{LimitNotice, NoticeSource, record_leaving, record_limit};
 use crate::protocol::RequestRate;
 use crate::replicas::Replica;
 use crate::state::GatewayState;
@@ -33,14 +33,14 @@
 /// Tells what is new, for ever.
 pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
-        let changed = state.notice_news.changed.notified();
-        let has_news = tokio::time::timeout(HOLDS_FOR, changed).await.is_ok();
+        let changed = state.changed_notices.changed.notified();
+        let has_news = tokio::time::timeout(SURVEY_MAX_AGE, changed).await.is_ok();
         survey(&state);
         if !has_news {
             continue;
         }
         tokio::time::sleep(BATCH_DELAY).await;
-        let replicas = state.notice_news.take();
+        let replicas = state.changed_notices.take();
         let now = Instant::now();
         let notices: Vec<WireNotice> = replicas
             .iter()
@@ -66,7 +66,7 @@
         return;
     }
     let replicas = surveyed.iter();
-    let replicas = replicas.filter(|replica| replica.notices.is_for_all_daemons());
+    let replicas = replicas.filter(|replica| replica.notices.has_any_to_share());
     let replicas: Vec<&Rc<Replica>> = replicas.collect();
     if replicas.is_empty() {
         return;
@@ -97,14 +97,14 @@
     let age_ms = |at: Instant| to_ms(now.saturating_duration_since(at));
     WireNotice {
         replica: replica.id().to_owned(),
-        born: replica.life.born,
+        born: replica.incarnation.born,
         limit: replica.notices.limit_notice().map(|notice| WireLimit {
             thousandths: notice.rate.map(RequestRate::thousandths),
             // Rounded up: a notice may look older than it is, never newer.
             sent_age_ms: age_ms(notice.sent_at).saturating_add(1),
-            heard_age_ms: age_ms(notice.heard_at),
+            heard_age_ms: age_ms(notice.received_at),
         }),
-        is_leaving: replica.notices.has_said_leaving(),
+        is_leaving: replica.notices.has_announced_leaving(),
     }
 }
 
@@ -120,15 +120,15 @@
             continue;
         };
         if notice.is_leaving {
-            note_leaving(state, &replica, Teller::Peer);
+            record_leaving(state, &replica, NoticeSource::Peer);
         }
         if let Some(limit) = &notice.limit {
             let told = LimitNotice {
                 rate: limit.thousandths.map(RequestRate::from_thousandths),
                 sent_at: ago(limit.sent_age_ms),
-                heard_at: ago(limit.heard_age_ms),
+                received_at: ago(limit.heard_age_ms),
             };
-            note_limit(state, &replica, told, Teller::Peer);
+            record_limit(state, &replica, told, NoticeSource::Peer);
         }
     }
 }
--- a/crates/gateway/src/peers/permits.rs
+++ b/crates/gateway/src/peers/permits.rs
@@ -14,9 +14,9 @@
 
 /// Sends questions, for ever.
 pub(super) async fn send_queries(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
-    let questions = &state.permits.questions;
+    let questions = &state.permits.queries;
     loop {
-        questions.asked.notified().await;
+        questions.outbox_changed.notified().await;
         for (query, to) in questions.take_outbox() {
             send(&socket, &Message::PermitQuery(query), &to).await;
         }
@@ -47,6 +47,6 @@
 
 /// Takes in an answer.
 pub(super) fn apply(state: &GatewayState, told: WirePermitReply) {
-    state.permits.note_answer(told.daemon);
-    state.permits.questions.answer(told);
+    state.permits.record_answer(told.daemon);
+    state.permits.queries.answer(told);
 }
--- a/crates/gateway/src/permits/bucket.rs
+++ b/crates/gateway/src/permits/bucket.rs
@@ -6,7 +6,7 @@
 
 /// The time for which permits are saved up beyond one: requests come in lumps, and a bucket that is full loses what comes. With it
 /// at most 4.5 times the limit and 1 are sent in 4 s, where the platform bears 6 times and 5.
-const SAVED_FOR: Duration = Duration::from_millis(500);
+const BURST_WINDOW: Duration = Duration::from_millis(500);
 
 /// A token bucket, which is filled at a rate that may change.
 #[derive(Debug, Clone, Copy)]
@@ -29,16 +29,16 @@
     /// # Errors
     ///
     /// There is none before this time has passed.
-    pub fn take(&mut self, per_second: f64, now: Instant) -> Result<(), Duration> {
-        let passed = now.saturating_duration_since(self.filled_at);
+    pub fn try_take(&mut self, per_second: f64, now: Instant) -> Result<(), Duration> {
+        let elapsed = now.saturating_duration_since(self.filled_at);
         self.filled_at = self.filled_at.max(now);
-        let most = 1.0 + per_second * SAVED_FOR.as_secs_f64();
-        self.level = (self.level + passed.as_secs_f64() * per_second).min(most);
+        let capacity = 1.0 + per_second * BURST_WINDOW.as_secs_f64();
+        self.level = (self.level + elapsed.as_secs_f64() * per_second).min(capacity);
         if self.level >= 1.0 {
             self.level -= 1.0;
             return Ok(());
         }
-        let lacking = (1.0 - self.level) / per_second.max(f64::MIN_POSITIVE);
-        Err(Duration::try_from_secs_f64(lacking).unwrap_or(Duration::MAX))
+        let missing = (1.0 - self.level) / per_second.max(f64::MIN_POSITIVE);
+        Err(Duration::try_from_secs_f64(missing).unwrap_or(Duration::MAX))
     }
 }
--- a/crates/gateway/src/permits/issuer.rs
+++ b/crates/gateway/src/permits/issuer.rs
@@ -11,27 +11,27 @@
 
 /// The least rate at which permits are issued, in requests a second: only an answer tells that a limit has ended, so a replica
 /// that takes next to nothing is asked every 5 s.
-pub const LEAST_RATE: f64 = 0.2;
+pub const MIN_RATE: f64 = 0.2;
 
 /// Replicas for which permits are issued at the most, some 50 bytes each.
 const MAX_BUCKETS: usize = 16_384;
 
 /// After this time a bucket that nobody asks for is forgotten where there are many: it is full, and begins empty.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+const IDLE_BUCKET_RETENTION: Duration = Duration::from_secs(60);
 
 /// The longest time after which one who is denied a permit asks again.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
-struct Issued {
+struct IssuedBucket {
     bucket: TokenBucket,
-    asked_at: Instant,
+    last_asked_at: Instant,
 }
 
 /// The buckets by the digest of the replica's life.
 #[derive(Debug, Default)]
 pub struct PermitIssuer {
-    by_life: RefCell<HashMap<u64, Issued>>,
+    by_incarnation: RefCell<HashMap<u64, IssuedBucket>>,
 }
 
 impl PermitIssuer {
@@ -42,27 +42,29 @@
     /// There is none before this time has passed.
     pub fn issue(
         &self,
-        life: u64,
+        incarnation: u64,
         rate: RequestRate,
         share: f64,
         now: Instant,
     ) -> Result<(), Duration> {
-        let mut by_life = self.by_life.borrow_mut();
-        if by_life.len() >= MAX_BUCKETS && !by_life.contains_key(&life) {
-            by_life.retain(|_, issued| {
-                now.saturating_duration_since(issued.asked_at) < FORGOTTEN_AFTER
+        let mut by_incarnation = self.by_incarnation.borrow_mut();
+        if by_incarnation.len() >= MAX_BUCKETS && !by_incarnation.contains_key(&incarnation) {
+            by_incarnation.retain(|_, issued| {
+                now.saturating_duration_since(issued.last_asked_at) < IDLE_BUCKET_RETENTION
             });
-            if by_life.len() >= MAX_BUCKETS {
-                return Err(LONGEST_WAIT);
+            if by_incarnation.len() >= MAX_BUCKETS {
+                return Err(MAX_RETRY_WAIT);
             }
         }
-        let issued = by_life.entry(life).or_insert_with(|| Issued {
-            bucket: TokenBucket::empty(now),
-            asked_at: now,
-        });
-        issued.asked_at = now;
-        let per_second = rate.per_second().max(LEAST_RATE) * share;
-        let taken = issued.bucket.take(per_second, now);
-        taken.map_err(|wait| wait.min(LONGEST_WAIT))
+        let issued = by_incarnation
+            .entry(incarnation)
+            .or_insert_with(|| IssuedBucket {
+                bucket: TokenBucket::empty(now),
+                last_asked_at: now,
+            });
+        issued.last_asked_at = now;
+        let per_second = rate.per_second().max(MIN_RATE) * share;
+        let taken = issued.bucket.try_take(per_second, now);
+        taken.map_err(|wait| wait.min(MAX_RETRY_WAIT))
     }
 }
--- a/crates/gateway/src/permits/mod.rs
+++ b/crates/gateway/src/permits/mod.rs
@@ -12,11 +12,11 @@
 //! - [`issuer`]: all permits that this daemon issues.
 //! - [`ranking`]: which daemons issue.
 //! - [`silence`]: which of them don't answer.
-//! - `questions`: asks others.
+//! - `queries`: asks others.
 
 pub mod bucket;
 pub mod issuer;
-mod questions;
+mod queries;
 pub mod ranking;
 pub mod silence;
 
@@ -26,10 +26,10 @@
 use driftspring_clock::Instant;
 
 pub use issuer::PermitIssuer;
-pub use questions::{PermitQuestions, Question};
+pub use queries::{PermitQueries, PermitQuery};
 pub use silence::SilentIssuers;
 
-use ranking::ISSUERS;
+use ranking::ISSUERS_PER_REPLICA;
 
 use crate::peers::directory::name_digest;
 use crate::protocol::RequestRate;
@@ -37,7 +37,7 @@
 use crate::state::GatewayState;
 
 /// The pause after no issuer was found: a daemon that has just started learns of the others within some 100 ms.
-const NO_ISSUER_PAUSE: Duration = Duration::from_millis(250);
+const NO_ISSUER_BACKOFF: Duration = Duration::from_millis(250);
 
 /// The permits of one daemon.
 #[derive(Debug, Default)]
@@ -45,20 +45,20 @@
     /// Those that it issues.
     pub issuer: PermitIssuer,
     /// What it asks others.
-    pub questions: PermitQuestions,
+    pub queries: PermitQueries,
     silent: SilentIssuers,
 }
 
 impl Permits {
     /// Takes in that a daemon has answered a question.
-    pub fn note_answer(&self, daemon: u64) {
-        self.silent.note_answer(daemon);
+    pub fn record_answer(&self, daemon: u64) {
+        self.silent.record_answer(daemon);
     }
 }
 
 /// A permit was not given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Denied {
+pub struct PermitDenied {
     /// After which time it is worth asking again.
     pub wait: Duration,
 }
@@ -68,7 +68,7 @@
 /// # Errors
 ///
 /// There is none for now.
-pub async fn acquire(state: &Rc<GatewayState>, replica: &Replica) -> Result<(), Denied> {
+pub async fn acquire(state: &Rc<GatewayState>, replica: &Replica) -> Result<(), PermitDenied> {
     let Some(rate) = replica.notices.limit() else {
         return Ok(());
     };
@@ -83,7 +83,7 @@
             replica
                 .notices
                 .pause_for_permits(wait, state.random_fraction());
-            Err(Denied { wait })
+            Err(PermitDenied { wait })
         }
     }
 }
@@ -94,20 +94,20 @@
     replica: &Replica,
     rate: RequestRate,
 ) -> Result<(), Duration> {
-    for _ in 0..ISSUERS {
-        let (name, address) = match issuer_of(state, replica.life_hash) {
-            Issuer::Own => return issue(state, replica.life_hash, rate),
-            Issuer::Unknown => return Err(NO_ISSUER_PAUSE),
+    for _ in 0..ISSUERS_PER_REPLICA {
+        let (name, address) = match current_issuer(state, replica.incarnation_hash) {
+            Issuer::Own => return issue(state, replica.incarnation_hash, rate),
+            Issuer::Unknown => return Err(NO_ISSUER_BACKOFF),
             Issuer::Other { name, address } => (name, address),
         };
-        let question = Question::of(replica, rate);
-        if let Some(answer) = questions::ask(state, question, &address).await {
+        let query = PermitQuery::for_permit(replica, rate);
+        if let Some(answer) = queries::ask(state, query, &address).await {
             return answer;
         }
         state.status.metrics.permits_unanswered.inc();
         log::debug!("{name} did not answer for {}", replica.id());
     }
-    Err(NO_ISSUER_PAUSE)
+    Err(NO_ISSUER_BACKOFF)
 }
 
 /// Issues a permit for the life with this digest, if there is one, as far as this daemon may; else after which time.
@@ -115,10 +115,17 @@
 /// # Errors
 ///
 /// There is none for now.
-pub fn issue(state: &Rc<GatewayState>, life: u64, rate: RequestRate) -> Result<(), Duration> {
+pub fn issue(
+    state: &Rc<GatewayState>,
+    incarnation: u64,
+    rate: RequestRate,
+) -> Result<(), Duration> {
     let now = Instant::now();
-    let share = own_share(state, life, now);
-    state.permits.issuer.issue(life, rate, share, now)
+    let rate_share = own_rate_share(state, incarnation, now);
+    state
+        .permits
+        .issuer
+        .issue(incarnation, rate, rate_share, now)
 }
 
 /// Who issues permits, as far as this daemon knows.
@@ -128,45 +135,45 @@
     Unknown,
 }
 
-fn issuer_of(state: &GatewayState, life: u64) -> Issuer {
+fn current_issuer(state: &GatewayState, incarnation: u64) -> Issuer {
     if !state.peers.are_daemons_known() {
         return Issuer::Unknown;
     }
     let now = Instant::now();
     let directory = state.peers.directory();
     let own = name_digest(&state.peers.own().name);
-    let issuers = ranking::issuers(&directory, life);
-    let digests = ranking::digests(&issuers);
+    let issuers = ranking::issuers(&directory, incarnation);
+    let digests = ranking::name_digests(&issuers);
     let silent = &state.permits.silent;
-    let Some(place) = ranking::first_speaking(&digests, own, silent, now) else {
+    let Some(position) = ranking::first_responding(&digests, own, silent, now) else {
         return Issuer::Unknown;
     };
-    if digests[place] == own {
+    if digests[position] == own {
         return Issuer::Own;
     }
-    silent.note_question(digests[place], now);
+    silent.record_query(digests[position], now);
     Issuer::Other {
-        name: issuers[place].name.clone(),
-        address: issuers[place].peers.clone(),
+        name: issuers[position].name.clone(),
+        address: issuers[position].peers.clone(),
     }
 }
 
 /// The share of a limit that this daemon issues.
-fn own_share(state: &Rc<GatewayState>, life: u64, now: Instant) -> f64 {
+fn own_rate_share(state: &Rc<GatewayState>, incarnation: u64, now: Instant) -> f64 {
     let directory = state.peers.directory();
-    let issuers = ranking::issuers(&directory, life);
-    let digests = ranking::digests(&issuers);
+    let issuers = ranking::issuers(&directory, incarnation);
+    let digests = ranking::name_digests(&issuers);
     let own = name_digest(&state.peers.own().name);
     let silent = &state.permits.silent;
-    let before = ranking::before(&digests, own);
-    for (digest, issuer) in before.iter().zip(&issuers) {
+    let higher_ranked = ranking::higher_ranked(&digests, own);
+    for (digest, issuer) in higher_ranked.iter().zip(&issuers) {
         if silent.may_probe(*digest, now) {
-            silent.note_question(*digest, now);
+            silent.record_query(*digest, now);
             let (state, address) = (Rc::clone(state), issuer.peers.clone());
             ntex::rt::spawn(
-                async move { questions::ask(&state, Question::probe(), &address).await },
+                async move { queries::ask(&state, PermitQuery::probe(), &address).await },
             );
         }
     }
-    ranking::share(before, silent, now)
+    ranking::rate_share(higher_ranked, silent, now)
 }
--- a/crates/gateway/src/permits/questions.rs
+++ b/crates/gateway/src/permits/queries.rs
@@ -6,27 +6,27 @@
 
 use tokio::sync::{Notify, oneshot};
 
-use super::silence::PATIENCE;
+use super::silence::PERMIT_ANSWER_TIMEOUT;
 use crate::peers::message::{WirePermitQuery, WirePermitReply};
 use crate::protocol::RequestRate;
 use crate::replicas::Replica;
 use crate::state::GatewayState;
 
 /// Questions that wait at once; more are not asked, and count as unanswered.
-const MAX_WAITING: usize = 4096;
+const MAX_PENDING: usize = 4096;
 
 /// What is asked.
 #[derive(Debug, Clone)]
-pub struct Question {
-    life: u64,
+pub struct PermitQuery {
+    incarnation: u64,
     rate: Option<RequestRate>,
 }
 
-impl Question {
+impl PermitQuery {
     /// Asks for a permit.
-    pub fn of(replica: &Replica, rate: RequestRate) -> Self {
+    pub fn for_permit(replica: &Replica, rate: RequestRate) -> Self {
         Self {
-            life: replica.life_hash,
+            incarnation: replica.incarnation_hash,
             rate: Some(rate),
         }
     }
@@ -34,7 +34,7 @@
     /// Asks only whether the daemon is there.
     pub fn probe() -> Self {
         Self {
-            life: 0,
+            incarnation: 0,
             rate: None,
         }
     }
@@ -42,78 +42,78 @@
 
 /// The questions of this daemon.
 #[derive(Debug, Default)]
-pub struct PermitQuestions {
+pub struct PermitQueries {
     last_nonce: Cell<u64>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<WirePermitReply>>>,
+    pending: RefCell<HashMap<u64, oneshot::Sender<WirePermitReply>>>,
     outbox: RefCell<Vec<(WirePermitQuery, String)>>,
     /// Wakes the task that sends them.
-    pub asked: Notify,
+    pub outbox_changed: Notify,
 }
 
-impl PermitQuestions {
+impl PermitQueries {
     /// The questions to be sent, with their receivers.
     pub fn take_outbox(&self) -> Vec<(WirePermitQuery, String)> {
         self.outbox.take()
     }
 
     /// Takes in an answer. One that comes too late is of no use: its request has gone elsewhere.
-    pub fn answer(&self, told: WirePermitReply) {
-        let waiting = self.waiting.borrow_mut().remove(&told.nonce);
-        if let Some(waiting) = waiting {
+    pub fn answer(&self, reply: WirePermitReply) {
+        let pending = self.pending.borrow_mut().remove(&reply.nonce);
+        if let Some(pending) = pending {
             // Who asked may have gone.
-            let _ = waiting.send(told);
+            let _ = pending.send(reply);
         }
     }
 
-    fn begin(
+    fn enqueue(
         &self,
-        question: &Question,
+        query: &PermitQuery,
         to: &str,
     ) -> Option<(u64, oneshot::Receiver<WirePermitReply>)> {
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting.len() >= MAX_WAITING {
+        let mut pending = self.pending.borrow_mut();
+        if pending.len() >= MAX_PENDING {
             return None;
         }
         let nonce = self.last_nonce.get().wrapping_add(1);
         self.last_nonce.set(nonce);
         let (sender, receiver) = oneshot::channel();
-        waiting.insert(nonce, sender);
+        pending.insert(nonce, sender);
         let ask = WirePermitQuery {
             nonce,
-            incarnation: question.life,
-            limit_thousandths: question.rate.map(RequestRate::thousandths),
+            incarnation: query.incarnation,
+            limit_thousandths: query.rate.map(RequestRate::thousandths),
         };
         self.outbox.borrow_mut().push((ask, to.to_owned()));
-        self.asked.notify_one();
+        self.outbox_changed.notify_one();
         Some((nonce, receiver))
     }
 }
 
 /// Removes a question that waits, also where its request is dropped meanwhile.
-struct Waiting<'a> {
-    questions: &'a PermitQuestions,
+struct PendingQueryGuard<'a> {
+    queries: &'a PermitQueries,
     nonce: u64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingQueryGuard<'_> {
     fn drop(&mut self) {
-        self.questions.waiting.borrow_mut().remove(&self.nonce);
+        self.queries.pending.borrow_mut().remove(&self.nonce);
     }
 }
 
 /// Asks a daemon; nothing where it does not answer in time.
 pub(super) async fn ask(
     state: &GatewayState,
-    question: Question,
+    query: PermitQuery,
     to: &str,
 ) -> Option<Result<(), Duration>> {
-    let questions = &state.permits.questions;
-    let (nonce, answer) = questions.begin(&question, to)?;
-    let _waiting = Waiting { questions, nonce };
-    let told = tokio::time::timeout(PATIENCE, answer).await;
-    let told = told.ok()?.ok()?;
-    Some(match told.is_granted {
+    let queries = &state.permits.queries;
+    let (nonce, answer) = queries.enqueue(&query, to)?;
+    let _guard = PendingQueryGuard { queries, nonce };
+    let reply = tokio::time::timeout(PERMIT_ANSWER_TIMEOUT, answer).await;
+    let reply = reply.ok()?.ok()?;
+    Some(match reply.is_granted {
         true => Ok(()),
-        false => Err(Duration::from_millis(told.wait_ms)),
+        false => Err(Duration::from_millis(reply.wait_ms)),
     })
 }
--- a/crates/gateway/src/permits/ranking.rs
+++ b/crates/gateway/src/permits/ranking.rs
@@ -10,55 +10,55 @@
 use crate::peers::message::WireDaemon;
 
 /// Daemons that may issue the permits for one replica: two may be gone, cut off or frozen.
-pub const ISSUERS: usize = 3;
+pub const ISSUERS_PER_REPLICA: usize = 3;
 
 /// The share of the rate of the one before that an issuer gives out where it can't tell that the others are gone. All three
 /// together give out 1.47 times the limit, where the platform bears 1.5 times.
-const SHARE_OF_NEXT: f64 = 0.35;
+const SUCCESSOR_SHARE: f64 = 0.35;
 
 /// How long a daemon must find those before it silent before it issues at the full rate. Machines count as in touch after 3 s
 /// without trouble (`contactMs`).
-const SUCCESSION: Duration = Duration::from_secs(4);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The daemons that issue the permits for the life with this digest, the first in rank first.
-pub fn issuers(directory: &Directory, life: u64) -> Vec<&WireDaemon> {
-    let bytes = life.to_le_bytes();
-    directory.highest(ISSUERS, |daemon| {
+pub fn issuers(directory: &Directory, incarnation: u64) -> Vec<&WireDaemon> {
+    let bytes = incarnation.to_le_bytes();
+    directory.highest(ISSUERS_PER_REPLICA, |daemon| {
         xxh3_64_with_seed(&bytes, name_digest(&daemon.name))
     })
 }
 
 /// The digests of their names.
-pub fn digests(issuers: &[&WireDaemon]) -> Vec<u64> {
+pub fn name_digests(issuers: &[&WireDaemon]) -> Vec<u64> {
     let names = issuers.iter().map(|issuer| name_digest(&issuer.name));
     names.collect()
 }
 
 /// Those that come before the daemon with the digest `own`.
-pub fn before(issuers: &[u64], own: u64) -> &[u64] {
-    let place = issuers.iter().position(|issuer| *issuer == own);
-    &issuers[..place.unwrap_or(issuers.len())]
+pub fn higher_ranked(issuers: &[u64], own: u64) -> &[u64] {
+    let position = issuers.iter().position(|issuer| *issuer == own);
+    &issuers[..position.unwrap_or(issuers.len())]
 }
 
 /// The place of the first that is not silent, or is the daemon itself that has the digest `own`.
-pub fn first_speaking(
+pub fn first_responding(
     issuers: &[u64],
     own: u64,
     silent: &SilentIssuers,
     now: Instant,
 ) -> Option<usize> {
-    let speaks = |issuer: &u64| *issuer == own || !silent.is_silent(*issuer, now);
-    issuers.iter().position(speaks)
+    let responds = |issuer: &u64| *issuer == own || !silent.is_silent(*issuer, now);
+    issuers.iter().position(responds)
 }
 
-/// The share of a limit that a daemon issues that comes after the issuers `before`: all of it where none of these answers it.
-pub fn share(before: &[u64], silent: &SilentIssuers, now: Instant) -> f64 {
+/// The share of a limit that a daemon issues that comes after the issuers `higher_ranked`: all of it where none of these answers it.
+pub fn rate_share(higher_ranked: &[u64], silent: &SilentIssuers, now: Instant) -> f64 {
     let is_gone = |issuer: &u64| {
         let silence = silent.silent_for(*issuer, now);
-        silence.is_some_and(|silence| silence >= SUCCESSION)
+        silence.is_some_and(|silence| silence >= TAKEOVER_TIMEOUT)
     };
-    match before.iter().all(is_gone) {
+    match higher_ranked.iter().all(is_gone) {
         true => 1.0,
-        false => before.iter().map(|_| SHARE_OF_NEXT).product(),
+        false => higher_ranked.iter().map(|_| SUCCESSOR_SHARE).product(),
     }
 }
--- a/crates/gateway/src/pipeline/account.rs
+++ b/crates/gateway/src/pipeline/account.rs
@@ -29,7 +29,7 @@
     pub fn open(state: &Rc<GatewayState>, connection: Option<&IoRef>, arrived_at: Instant) -> Self {
         state.status.open_requests.fetch_add(1, Ordering::AcqRel);
         if let Some(connection) = connection {
-            state.callers.request_began(connection);
+            state.callers.record_request_start(connection);
         }
         Self {
             state: Rc::clone(state),
@@ -144,7 +144,7 @@
             .open_requests
             .fetch_sub(1, Ordering::AcqRel);
         if let Some(connection) = self.connection {
-            self.state.callers.request_ended(connection);
+            self.state.callers.record_request_end(connection);
         }
         if !self.is_finished {
             self.state.status.metrics.abandoned.inc();
--- a/crates/gateway/src/pipeline/admission.rs
+++ b/crates/gateway/src/pipeline/admission.rs
@@ -11,7 +11,7 @@
 //! elsewhere, and what is not yet late would become so. On days on which replicas are lost, or twice the traffic comes, 0.05 of
 //! worth more is earned and 0.04 more of it served, where as much less fails (eighteen pairs of plays on three deployments).
 //!
-//! The waits are those of [`crate::replicas::BeginWait`]. What is refused makes lines shorter, so this
+//! The waits are those of [`crate::replicas::QueueWaitEstimator`]. What is refused makes lines shorter, so this
 //! regulates itself; nothing waits in the gateway. Which replica a request goes to is left to placement: sending
 //! requests away from where their prompts are kept for the sake of a shorter wait was measured, and makes the
 //! lines of all longer, since more is read again.
@@ -24,7 +24,7 @@
 use super::context::RequestContext;
 use super::refusal::{Reason, Refusal, Step};
 use super::retry_after::retry_after;
-use crate::replicas::{Replica, wait_together};
+use crate::replicas::{Replica, service_queue_wait};
 use crate::state::GatewayState;
 
 /// The share of a caller's patience up to which a wait is taken for one that it sits out. It is below one since
@@ -93,9 +93,9 @@
     let candidates = eligible(rank)?;
     let now = Instant::now();
     let is_regulated = context.prompt().is_some() && progress == Progress::New;
-    let expected_at = |replica: &Rc<Replica>| replica.waits.expected(rank, now);
-    let line_at = |replica: &Rc<Replica>| replica.waits.line(rank, now);
-    let together = wait_together(candidates.iter().map(line_at));
+    let expected_at = |replica: &Rc<Replica>| replica.queue_waits.expected_wait(rank, now);
+    let line_at = |replica: &Rc<Replica>| replica.queue_waits.queue_state(rank, now);
+    let together = service_queue_wait(candidates.iter().map(line_at));
     let objective = context.configuration.longest_objective(&context.service);
     if is_regulated && are_queues_too_long(together, objective) {
         let acceptable_wait = objective.unwrap_or_default();
@@ -113,7 +113,7 @@
         return Ok(Admitted { candidates, rank });
     }
     let behind = late_rank(rank);
-    let typical_at = |replica: &Rc<Replica>| replica.waits.typical(behind, now);
+    let typical_at = |replica: &Rc<Replica>| replica.queue_waits.typical_wait(behind, now);
     let typical_wait = candidates.iter().map(typical_at).min().unwrap_or_default();
     let first_event_time_left = context.first_event_time_left(now);
     if !is_worth_sending(typical_wait, first_event_time_left) {
--- a/crates/gateway/src/pipeline/attempts.rs
+++ b/crates/gateway/src/pipeline/attempts.rs
@@ -17,7 +17,7 @@
 use super::judge::{Verdict, judge};
 use super::refusal::{Reason, Refusal, Step};
 use crate::notices;
-use crate::permits::{self, Denied};
+use crate::permits::{self, PermitDenied};
 use crate::protocol::ReplicaIncarnation;
 use crate::quarantine::note_lost_answer;
 use crate::replicas::Replica;
@@ -157,7 +157,7 @@
                 Err(SendError::Failed(SendFailure::NotSent { peer, cause })) => {
                     self.handle_not_sent(&choice, peer, &cause)?;
                 }
-                Err(SendError::Failed(SendFailure::Lost { peer, cause })) => {
+                Err(SendError::Failed(SendFailure::NoAnswer { peer, cause })) => {
                     self.sends += 1;
                     self.handle_lost(&choice, peer, &cause)?;
                 }
@@ -195,7 +195,11 @@
     }
 
     /// Takes in that the chosen replica's limit leaves no room; it is passed over until it does. An error where too many did.
-    fn handle_permit_denial(&mut self, choice: &Choice, denial: Denied) -> Result<(), Refusal> {
+    fn handle_permit_denial(
+        &mut self,
+        choice: &Choice,
+        denial: PermitDenied,
+    ) -> Result<(), Refusal> {
         self.log_attempt(choice, "no_permit", &format!("wait {:?}", denial.wait));
         self.permit_denials += 1;
         self.min_permit_wait = self.min_permit_wait.min(denial.wait);
@@ -217,24 +221,24 @@
     ) -> Result<Option<Attempt>, Refusal> {
         let (verdict, meta) = judge(&*self.state.platform, &self.context, &opened.answer);
         let peer = choice.replica.pool.peer();
-        notices::note_answer(
+        notices::record_answer(
             &self.state,
             &self.context.id,
             &choice.replica,
             &meta,
             self.sent_at,
         );
-        if choice.replica.health.note_answer() {
+        if choice.replica.health.record_answer() {
             log_event!(gateway::REPLICA_WELL, "replica={}", choice.replica.id());
         }
         if let (Some(version), Some(prompt)) = (meta.weights_version, self.context.prompt()) {
-            choice.replica.note_version(&prompt.model, version);
+            choice.replica.record_version(&prompt.model, version);
         }
         match verdict {
             Verdict::Final | Verdict::Failed => {
                 self.possible_runs += 1;
                 let has_failed = verdict == Verdict::Failed;
-                choice.replica.health.note_outcome(has_failed);
+                choice.replica.health.record_outcome(has_failed);
                 if has_failed && self.tries_elsewhere_after_failure(&choice) {
                     return Ok(None);
                 }
@@ -279,7 +283,7 @@
         peer: SocketAddr,
         detail: &str,
     ) -> Result<(), Refusal> {
-        let is_first = !self.has_mismatched(&choice.replica.life);
+        let is_first = !self.has_mismatched(&choice.replica.incarnation);
         let has_newer = self.has_learned_version(&mismatch)
             && self.believed_version(&mismatch) > Some(mismatch.requested_version);
         self.weights_mismatches.push(mismatch);
@@ -293,7 +297,7 @@
 
     fn has_mismatched(&self, life: &ReplicaIncarnation) -> bool {
         let mut mismatches = self.weights_mismatches.iter();
-        mismatches.any(|mismatch| mismatch.replica.life == *life)
+        mismatches.any(|mismatch| mismatch.replica.incarnation == *life)
     }
 
     /// The version that is believed of a replica.
@@ -330,7 +334,7 @@
             .iter()
             .filter(|mismatch| self.has_learned_version(mismatch));
         let known: Vec<ReplicaIncarnation> = known
-            .map(|mismatch| mismatch.replica.life.clone())
+            .map(|mismatch| mismatch.replica.incarnation.clone())
             .collect();
         self.tried.retain(|life| !known.contains(life));
         !known.is_empty()
@@ -366,14 +370,14 @@
             .is_ok();
         if is_possible {
             self.log_attempt(choice, "failed", "the replica answered with a failure");
-            self.tried.push(choice.replica.life.clone());
+            self.tried.push(choice.replica.incarnation.clone());
         }
         is_possible
     }
 
     fn tried_with(&self, choice: &Choice) -> Vec<ReplicaIncarnation> {
         let mut tried = self.tried.clone();
-        tried.push(choice.replica.life.clone());
+        tried.push(choice.replica.incarnation.clone());
         tried
     }
 
@@ -385,7 +389,7 @@
     ) -> Result<(), Refusal> {
         self.note_failure(choice, cause);
         self.log_attempt(choice, "not_sent", cause);
-        self.tried.push(choice.replica.life.clone());
+        self.tried.push(choice.replica.incarnation.clone());
         self.unreachable += 1;
         match self.unreachable >= MAX_UNREACHABLE {
             true => Err(self.give_up(Reason::NotRun, Some(peer), cause)),
@@ -400,11 +404,11 @@
         detail: &str,
     ) -> Result<(), Refusal> {
         self.log_attempt(choice, "not_run", detail);
-        choice.replica.health.note_full(Instant::now());
+        choice.replica.health.record_overload(Instant::now());
         self.state.holders.forget(&choice.prefixes, &choice.replica);
-        self.tried.push(choice.replica.life.clone());
+        self.tried.push(choice.replica.incarnation.clone());
         // Its next request goes elsewhere at once, so only the budget of repeats bounds the search for one that has room.
-        if choice.replica.notices.is_resting(Instant::now()) {
+        if choice.replica.notices.is_cooling_down(Instant::now()) {
             return Ok(());
         }
         self.count_not_run(peer, detail)
@@ -433,7 +437,7 @@
     ) -> Result<(), Refusal> {
         self.possible_runs += 1;
         self.note_failure(choice, cause);
-        choice.replica.health.note_outcome(true);
+        choice.replica.health.record_outcome(true);
         let fingerprint = self.context.fingerprint();
         self.log_attempt(
             choice,
@@ -442,7 +446,7 @@
         );
         let ran = self.sent_at.elapsed();
         note_lost_answer(&self.state, &choice.replica, fingerprint, ran);
-        self.tried.push(choice.replica.life.clone());
+        self.tried.push(choice.replica.incarnation.clone());
         match self.may_run_again() {
             true => Ok(()),
             false => Err(self.give_up(Reason::Unknown, Some(peer), cause)),
@@ -462,7 +466,7 @@
             choice.weights_version,
             self.context.arrived_at.elapsed()
         );
-        self.tried.push(choice.replica.life.clone());
+        self.tried.push(choice.replica.incarnation.clone());
         match self.may_run_again() {
             true => Ok(()),
             false => {
@@ -473,7 +477,7 @@
     }
 
     fn note_failure(&self, choice: &Choice, cause: &str) {
-        let pause = choice.replica.health.note_failure(Instant::now());
+        let pause = choice.replica.health.record_failure(Instant::now());
         log_event!(
             gateway::REPLICA_SUSPECT,
             "replica={} pause={pause:?} cause={cause:?}",
--- a/crates/gateway/src/pipeline/choose_replica.rs
+++ b/crates/gateway/src/pipeline/choose_replica.rs
@@ -14,7 +14,7 @@
 use crate::cache::Prefix;
 use crate::notices::Pause;
 use crate::protocol::ReplicaIncarnation;
-use crate::replicas::{Candidate, MOST_COMPARED, PlacementKey, Replica, ServiceReplicas, place};
+use crate::replicas::{Candidate, MAX_COMPARED, PlacementKey, Replica, ServiceReplicas, place};
 use crate::state::GatewayState;
 
 /// Shared tokens from which a prompt is worth copying to a store; fewer are read again in no time.
@@ -28,7 +28,7 @@
 const OUTDATED_PENALTY_DELAY: Duration = Duration::from_millis(1400);
 
 /// Of the few replicas that are compared, so many must be able to serve: else others are looked at too.
-const MIN_ELIGIBLE_COMPARED: usize = MOST_COMPARED / 4;
+const MIN_ELIGIBLE_COMPARED: usize = MAX_COMPARED / 4;
 
 /// A replica for one attempt.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
 ) -> Result<Choice, Refusal> {
     let listed = state.registry.of_service(&context.service);
     let key = context.placement_key();
-    let admitted = match listed.len() > MOST_COMPARED {
+    let admitted = match listed.len() > MAX_COMPARED {
         true => admit_to_compared(state, context, key, tried, progress, &listed),
         false => None,
     };
@@ -145,7 +145,7 @@
     progress: Progress,
     listed: &ServiceReplicas,
 ) -> Option<Admitted> {
-    let few = listed.compared(key, state.draw());
+    let few = listed.select_for_comparison(key, state.draw());
     let eligible_for = |rank| eligible(state, context, &few, tried, rank);
     let admitted = admit(state, context, progress, eligible_for).ok()?;
     let is_enough = admitted.candidates.len() >= MIN_ELIGIBLE_COMPARED;
@@ -162,11 +162,11 @@
     rank: u8,
 ) -> Result<Vec<Rc<Replica>>, Refusal> {
     let now = Instant::now();
-    let is_staying =
-        |replica: &&Rc<Replica>| replica.is_staying(now) && !tried.contains(&replica.life);
-    let mut staying: Vec<Rc<Replica>> = listed.iter().filter(is_staying).cloned().collect();
+    let is_eligible =
+        |replica: &&Rc<Replica>| replica.is_eligible(now) && !tried.contains(&replica.incarnation);
+    let mut staying: Vec<Rc<Replica>> = listed.iter().filter(is_eligible).cloned().collect();
     if staying.is_empty() {
-        let left = listed.iter().filter(|replica| replica.is_staying(now));
+        let left = listed.iter().filter(|replica| replica.is_eligible(now));
         return Err(match earliest_pause_end(left, now) {
             Some((replica, pause)) => all_paused(state, replica, &pause, now),
             None => no_replica("all are leaving, tried or unknown"),
@@ -256,7 +256,7 @@
         return false;
     }
     let now = Instant::now();
-    let expected_wait = replica.waits.expected(rank, now);
+    let expected_wait = replica.queue_waits.expected_wait(rank, now);
     replica.version_of(&prompt.model).is_none_or(|version| {
         let weights = state.weights.borrow();
         weights.may_serve(&prompt.model, version, now, deadline, expected_wait)
@@ -300,12 +300,12 @@
     Candidate {
         id_hash: replica.id_hash,
         open_requests: replica.open_requests(),
-        reading: replica.reading(Instant::now()),
-        is_outdated: is_penalized_as_outdated(state, context, replica),
-        failure_share: replica.health.failure_share(),
-        is_near: replica.entry().zone == state.settings.zone,
-        fetching: supply.fetch_cost,
-        reading_again: supply.prefill_cost,
+        remaining_prefill: replica.remaining_prefill(Instant::now()),
+        has_outdated_weights: is_penalized_as_outdated(state, context, replica),
+        failure_rate: replica.health.failure_rate(),
+        is_in_own_zone: replica.entry().zone == state.settings.zone,
+        fetch_time: supply.fetch_cost,
+        recompute_time: supply.prefill_cost,
     }
 }
 
--- a/crates/gateway/src/pipeline/dispatch.rs
+++ b/crates/gateway/src/pipeline/dispatch.rs
@@ -16,7 +16,7 @@
 use super::withdrawal::{are_weights_too_old, replica_time_limit, until_weights_too_old};
 use crate::peers::message::WirePrompt;
 use crate::protocol::Dispatch;
-use crate::replicas::{OpenWork, Waiting};
+use crate::replicas::{OpenRequestGuard, QueuedRequest};
 use crate::state::GatewayState;
 use crate::upstream::{Answer, Connection, SendFailure};
 
@@ -29,9 +29,9 @@
     /// The answer.
     pub answer: Answer,
     /// Counts the request at its replica for as long as the answer is open.
-    pub _work: OpenWork,
+    pub _work: OpenRequestGuard,
     /// Its wait at the replica, as long as it has not begun.
-    waiting: Option<Waiting>,
+    waiting: Option<QueuedRequest>,
 }
 
 impl OpenAnswer {
@@ -47,7 +47,7 @@
         };
         let now = Instant::now();
         let metrics = &state.status.metrics;
-        metrics.note_begun(&waiting.began(now));
+        metrics.note_begun(&waiting.record_start(now));
         if let Some((prompt, version)) = context.prompt().zip(choice.weights_version) {
             let wanted = state.weights.borrow();
             if let Some(age) = wanted.outdated_for(&prompt.model, version, now) {
@@ -76,11 +76,11 @@
     last_event_id: Option<&str>,
 ) -> Result<OpenAnswer, SendError> {
     let pool = &choice.replica.pool;
-    let work = OpenWork::begin(&choice.replica);
+    let work = OpenRequestGuard::begin(&choice.replica);
     note_prompt(state, choice);
     loop {
         let mut connection = connect(state, choice).await.map_err(SendError::Failed)?;
-        if choice.replica.notices.is_resting(Instant::now()) {
+        if choice.replica.notices.is_cooling_down(Instant::now()) {
             pool.put(connection);
             return Err(SendError::Resting);
         }
@@ -90,8 +90,8 @@
         }
         let request =
             build_request(state, context, choice, last_event_id).map_err(SendError::Failed)?;
-        let waits = &choice.replica.waits;
-        let waiting = Waiting::begin(waits, choice.rank, Instant::now());
+        let waits = &choice.replica.queue_waits;
+        let waiting = QueuedRequest::begin(waits, choice.rank, Instant::now());
         log_sent(state, context, choice, &connection, waiting.expected());
         let answer = tokio::select! {
             biased;
@@ -120,13 +120,13 @@
     }
     let now = Instant::now();
     let replica = &choice.replica;
-    replica.note_prompt(choice.tokens_to_prefill, now);
-    let ready_at = now + replica.reading(now);
+    replica.record_prompt(choice.tokens_to_prefill, now);
+    let ready_at = now + replica.remaining_prefill(now);
     let prefixes = choice.prefixes.iter().map(|prefix| prefix.key);
     state.holders.note(prefixes.clone(), replica, ready_at, now);
     state.peers.report_prompt(WirePrompt {
         replica: replica.id().to_owned(),
-        born: replica.life.born,
+        born: replica.incarnation.born,
         tokens: choice.tokens_to_prefill,
         prefixes: prefixes.map(|key| key.0).collect(),
         sender: 0,
@@ -137,8 +137,8 @@
 async fn connect(state: &GatewayState, choice: &Choice) -> Result<Connection, SendFailure> {
     let connection = choice.replica.pool.take().await;
     let connection = connection.map_err(|error| not_sent(choice, &error.to_string()))?;
-    let is_listed = state.registry.is_current(&choice.replica.life);
-    match is_listed && choice.replica.is_staying(Instant::now()) {
+    let is_listed = state.registry.is_current(&choice.replica.incarnation);
+    match is_listed && choice.replica.is_eligible(Instant::now()) {
         true => Ok(connection),
         false => Err(not_sent(choice, "it is leaving by now")),
     }
@@ -199,7 +199,7 @@
         choice.is_home,
         choice.candidates,
         choice.replica.open_requests(),
-        choice.replica.reading(Instant::now()),
+        choice.replica.remaining_prefill(Instant::now()),
         choice.rank,
         choice.cached_tokens,
         choice.tokens_to_prefill,
--- a/crates/gateway/src/pipeline/prompt_sources.rs
+++ b/crates/gateway/src/pipeline/prompt_sources.rs
@@ -10,7 +10,7 @@
 use super::context::RequestContext;
 use crate::cache::{Prefix, prefixes};
 use crate::configuration::KvStore;
-use crate::replicas::{Replica, reading_time};
+use crate::replicas::{Replica, estimated_prefill_time};
 use crate::state::GatewayState;
 
 /// How much a fetch counts against its time on an idle link, since others use the link too.
@@ -104,7 +104,7 @@
             cached_tokens,
             source,
             fetch_cost,
-            prefill_cost: reading_time(uncached).mul_f64(PREFILL_COST_FACTOR),
+            prefill_cost: estimated_prefill_time(uncached).mul_f64(PREFILL_COST_FACTOR),
         }
     }
 
@@ -139,7 +139,7 @@
             let tokens = self.cached_tokens(&prefixes, replica, true);
             (tokens > 0).then(|| (Rc::clone(replica), tokens))
         };
-        let holders = listed.of_lives(&self.state.holders.of_any(&prefixes));
+        let holders = listed.with_incarnations(&self.state.holders.of_any(&prefixes));
         let replicas = holders.iter().filter(is_usable).filter_map(held).collect();
         let is_in_store = self.store.as_ref().is_some_and(|store| {
             self.state
--- a/crates/gateway/src/pipeline/withdrawal.rs
+++ b/crates/gateway/src/pipeline/withdrawal.rs
@@ -29,7 +29,7 @@
     };
     let now = Instant::now();
     let deadline = state.times.get().weights_deadline;
-    let expected_wait = choice.replica.waits.expected(choice.rank, now);
+    let expected_wait = choice.replica.queue_waits.expected_wait(choice.rank, now);
     let wanted = state.weights.borrow();
     wanted
         .replica_time_limit(&prompt.model, version, now, deadline, expected_wait)
--- a/crates/gateway/src/quarantine/lost_answers.rs
+++ b/crates/gateway/src/quarantine/lost_answers.rs
@@ -75,7 +75,7 @@
     if state
         .quarantine
         .lost_answers
-        .add(&replica.life, lost_answer)
+        .add(&replica.incarnation, lost_answer)
     {
         // Taken before the request is sent to another replica, which may crash too.
         let ended_at = state.quarantine.now();
@@ -89,7 +89,7 @@
     let is_refused = is_refused(replica.pool.peer()).await;
     // A daemon whose process stood still during the crash may find the next incarnation at the address.
     let has_crashed = is_refused || state.registry.is_replaced(&replica);
-    let lost = state.quarantine.lost_answers.take(&replica.life);
+    let lost = state.quarantine.lost_answers.take(&replica.incarnation);
     if !has_crashed {
         return;
     }
@@ -98,7 +98,7 @@
         gateway::REPLICA_ENDED,
         "replica={} digest={:016x} address={} open={} fingerprints={:?}",
         replica.id(),
-        replica.life_hash,
+        replica.incarnation_hash,
         replica.pool.peer(),
         lost.len(),
         logged_fingerprints(&lost)
@@ -109,7 +109,7 @@
         // off at that one; with the start time, the strike would count against the incarnation that is alive.
         let began_at = is_refused.then(|| ended_at.saturating_sub(ran));
         let strike = Strike {
-            replica: replica.life_hash,
+            replica: replica.incarnation_hash,
             at: ended_at,
             is_coincident: false,
             began_at,
--- a/crates/gateway/src/replicas/mod.rs
+++ b/crates/gateway/src/replicas/mod.rs
@@ -1,19 +1,21 @@
 //! What is believed of each replica, and the choice of one.
 
-mod begin_wait;
-mod gone_lives;
 mod health;
-mod lines;
 mod placement;
+mod queue_state;
+mod queue_wait;
 mod registry;
+mod removed_incarnations;
 mod replica;
 mod service_replicas;
 
-pub use begin_wait::{BeginWait, Begun, Waiting};
-pub use gone_lives::{GONE_MEMORY, GoneLives, HELD_BACK, MAX_GONE_LIVES};
 pub use health::Health;
-pub use lines::{Begins, Line, wait_together};
 pub use placement::{Candidate, PlacementKey, place};
+pub use queue_state::{QueueState, RecentStarts, service_queue_wait};
+pub use queue_wait::{MeasuredWait, QueueWaitEstimator, QueuedRequest};
 pub use registry::Registry;
-pub use replica::{OpenWork, Replica, reading_time};
-pub use service_replicas::{MOST_COMPARED, ServiceReplicas};
+pub use removed_incarnations::{
+    HOLD_BACK_TIMEOUT, MAX_REMOVED_INCARNATIONS, REMOVED_RETENTION, RemovedIncarnations,
+};
+pub use replica::{OpenRequestGuard, Replica, estimated_prefill_time};
+pub use service_replicas::{MAX_COMPARED, ServiceReplicas};
--- a/crates/gateway/src/replicas/lines.rs
+++ b/crates/gateway/src/replicas/queue_state.rs
@@ -16,57 +16,57 @@
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
 /// The weight of recent begins below which nothing is told of the rate.
-const LEAST_BEGINS: f64 = 3.0;
+const MIN_RECENT_STARTS: f64 = 3.0;
 
 /// How often requests began lately.
 #[derive(Debug, Clone, Copy)]
-pub struct Begins {
-    weight: f64,
+pub struct RecentStarts {
+    count: f64,
     at: Instant,
 }
 
-impl Begins {
+impl RecentStarts {
     /// None so far.
     pub fn none(now: Instant) -> Self {
         Self {
-            weight: 0.0,
+            count: 0.0,
             at: now,
         }
     }
 
     /// What is left at `now` of the begins so far: each counts less the longer ago it was.
-    pub fn weight(&self, now: Instant) -> f64 {
+    pub fn decayed_count(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at);
-        self.weight * 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
+        self.count * 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
 
     /// Takes in that a request began.
-    pub fn note(&mut self, now: Instant) {
-        self.weight = self.weight(now) + 1.0;
+    pub fn record_start(&mut self, now: Instant) {
+        self.count = self.decayed_count(now) + 1.0;
         self.at = now;
     }
 }
 
 /// The line at one replica, as far as this gateway sees it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Line {
+pub struct QueueState {
     /// Requests that wait and go before the one in question, or beside it.
-    pub waiting: usize,
+    pub queued: usize,
     /// The weight of recent begins, of any urgency.
-    pub begins: f64,
+    pub recent_starts: f64,
 }
 
 /// How long a request will wait that goes to one of the replicas with these lines, whichever that is; nothing where too
 /// few have begun to tell.
-pub fn wait_together(lines: impl Iterator<Item = Line>) -> Duration {
-    let (mut waiting, mut begins) = (0, 0.0);
-    for line in lines {
-        waiting += line.waiting;
-        begins += line.begins;
+pub fn service_queue_wait(queues: impl Iterator<Item = QueueState>) -> Duration {
+    let (mut queued, mut recent_starts) = (0, 0.0);
+    for queue in queues {
+        queued += queue.queued;
+        recent_starts += queue.recent_starts;
     }
-    if begins < LEAST_BEGINS {
+    if recent_starts < MIN_RECENT_STARTS {
         return Duration::ZERO;
     }
-    let a_second = begins * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
-    Duration::from_secs_f64(waiting as f64 / a_second)
+    let starts_per_second = recent_starts * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
+    Duration::from_secs_f64(queued as f64 / starts_per_second)
 }
--- a/crates/gateway/src/replicas/begin_wait.rs
+++ b/crates/gateway/src/replicas/queue_wait.rs
@@ -18,7 +18,7 @@
 
 use driftspring_clock::Instant;
 
-use super::lines::{Begins, Line};
+use super::queue_state::{QueueState, RecentStarts};
 use crate::standstill;
 
 /// How much one sample weighs in the mean and in the deviation. A gateway sees about one begin a second of
@@ -34,15 +34,15 @@
 
 /// The waits of requests of one urgency.
 #[derive(Debug, Clone, Copy)]
-struct Learnt {
+struct WaitStatistics {
     mean_s: f64,
     deviation_s: f64,
     at: Instant,
 }
 
-impl Learnt {
+impl WaitStatistics {
     /// Nothing but no wait at all.
-    fn nothing(now: Instant) -> Self {
+    fn zero(now: Instant) -> Self {
         Self {
             mean_s: 0.0,
             deviation_s: 0.0,
@@ -51,7 +51,7 @@
     }
 
     /// What is left of it at `now`.
-    fn faded(self, now: Instant) -> Self {
+    fn decayed(self, now: Instant) -> Self {
         let silence = now.saturating_duration_since(self.at);
         let left = 0.5_f64.powf(silence.as_secs_f64() / HALF_LIFE.as_secs_f64());
         Self {
@@ -62,8 +62,8 @@
     }
 
     /// Takes in one wait; what was learnt before has faded by then.
-    fn take(&mut self, wait: Duration, now: Instant) {
-        *self = self.faded(now);
+    fn add_sample(&mut self, wait: Duration, now: Instant) {
+        *self = self.decayed(now);
         let error_s = wait.as_secs_f64() - self.mean_s;
         self.deviation_s += SAMPLE_WEIGHT * (error_s.abs() - self.deviation_s);
         self.mean_s += SAMPLE_WEIGHT * error_s;
@@ -83,114 +83,120 @@
 
 /// The waits at one replica.
 #[derive(Debug, Default)]
-pub struct BeginWait {
+pub struct QueueWaitEstimator {
     inner: RefCell<Inner>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     /// By urgency; 0 goes first.
-    learnt: BTreeMap<u8, Learnt>,
+    statistics: BTreeMap<u8, WaitStatistics>,
     /// Requests that wait, by urgency and the order in which they were sent.
     waiting: BTreeMap<u8, BTreeMap<u64, Instant>>,
-    sent: u64,
-    begins: Option<Begins>,
+    last_id: u64,
+    recent_starts: Option<RecentStarts>,
 }
 
-impl BeginWait {
+impl QueueWaitEstimator {
     /// How long a request of this urgency that is sent at `now` will wait at the most, but for few.
-    pub fn expected(&self, urgency: u8, now: Instant) -> Duration {
-        self.estimate(urgency, now, Learnt::expected)
+    pub fn expected_wait(&self, urgency: u8, now: Instant) -> Duration {
+        self.estimate(urgency, now, WaitStatistics::expected)
     }
 
     /// How long about half of the requests of this urgency will wait that are sent at `now`.
-    pub fn typical(&self, urgency: u8, now: Instant) -> Duration {
-        self.estimate(urgency, now, Learnt::typical)
+    pub fn typical_wait(&self, urgency: u8, now: Instant) -> Duration {
+        self.estimate(urgency, now, WaitStatistics::typical)
     }
 
-    fn estimate(&self, urgency: u8, now: Instant, of: fn(Learnt) -> Duration) -> Duration {
+    fn estimate(&self, urgency: u8, now: Instant, of: fn(WaitStatistics) -> Duration) -> Duration {
         let inner = self.inner.borrow();
-        let learnt = inner.learnt.range(..=urgency);
-        let learnt = learnt.map(|(_, learnt)| of(learnt.faded(now))).max();
+        let statistics = inner.statistics.range(..=urgency);
+        let statistics = statistics
+            .map(|(_, statistics)| of(statistics.decayed(now)))
+            .max();
         let waiting = inner.waiting.range(..=urgency);
-        let waiting = waiting.filter_map(|(_, sent)| corroborated_age(sent, now));
-        learnt
+        let waiting = waiting.filter_map(|(_, sent_at)| second_oldest_age(sent_at, now));
+        statistics
             .unwrap_or_default()
             .max(waiting.max().unwrap_or_default())
     }
 
     /// Takes in that a request of this urgency began after `wait`, at this gateway or at another one.
-    pub fn note(&self, urgency: u8, wait: Duration, now: Instant) {
+    pub fn record_wait(&self, urgency: u8, wait: Duration, now: Instant) {
         let mut inner = self.inner.borrow_mut();
-        let learnt = inner.learnt.entry(urgency);
-        let learnt = learnt.or_insert_with(|| Learnt::nothing(now));
-        learnt.take(wait, now);
+        let statistics = inner.statistics.entry(urgency);
+        let statistics = statistics.or_insert_with(|| WaitStatistics::zero(now));
+        statistics.add_sample(wait, now);
     }
 
     /// The line as a request of this urgency sees it that is sent at `now`.
-    pub fn line(&self, urgency: u8, now: Instant) -> Line {
+    pub fn queue_state(&self, urgency: u8, now: Instant) -> QueueState {
         let inner = self.inner.borrow();
         let waiting = inner.waiting.range(..=urgency);
-        Line {
-            waiting: waiting.map(|(_, sent)| sent.len()).sum(),
-            begins: inner.begins.map_or(0.0, |begins| begins.weight(now)),
+        QueueState {
+            queued: waiting.map(|(_, sent_at)| sent_at.len()).sum(),
+            recent_starts: inner
+                .recent_starts
+                .map_or(0.0, |recent_starts| recent_starts.decayed_count(now)),
         }
     }
 
-    fn note_begin(&self, now: Instant) {
+    fn record_start(&self, now: Instant) {
         let mut inner = self.inner.borrow_mut();
-        let begins = inner.begins.get_or_insert_with(|| Begins::none(now));
-        begins.note(now);
+        let recent_starts = inner
+            .recent_starts
+            .get_or_insert_with(|| RecentStarts::none(now));
+        recent_starts.record_start(now);
     }
 
     fn enter(&self, urgency: u8, now: Instant) -> u64 {
         let mut inner = self.inner.borrow_mut();
-        inner.sent += 1;
-        let number = inner.sent;
+        inner.last_id += 1;
+        let id = inner.last_id;
         let waiting = inner.waiting.entry(urgency).or_default();
-        waiting.insert(number, now);
-        number
+        waiting.insert(id, now);
+        id
     }
 
-    fn leave(&self, urgency: u8, number: u64) {
+    fn leave(&self, urgency: u8, id: u64) {
         let mut inner = self.inner.borrow_mut();
         if let Some(waiting) = inner.waiting.get_mut(&urgency) {
-            waiting.remove(&number);
+            waiting.remove(&id);
         }
     }
 }
 
 /// How long the second oldest of the requests that wait has done so: one alone may be lost.
-fn corroborated_age(sent: &BTreeMap<u64, Instant>, now: Instant) -> Option<Duration> {
-    let second = sent.values().nth(1)?;
+fn second_oldest_age(sent_at: &BTreeMap<u64, Instant>, now: Instant) -> Option<Duration> {
+    let second = sent_at.values().nth(1)?;
     Some(now.saturating_duration_since(*second))
 }
 
 /// A request that waits at a replica, until it begins or is dropped. One that is dropped before it began, for
 /// whatever reason, tells that it would have waited longer.
 #[derive(Debug)]
-pub struct Waiting {
-    waits: Rc<BeginWait>,
+pub struct QueuedRequest {
+    estimator: Rc<QueueWaitEstimator>,
     urgency: u8,
-    number: u64,
-    since: Instant,
+    id: u64,
+    sent_at: Instant,
     /// How long this process had stood still in all when it was sent.
-    stood_still: Duration,
+    standstill_before: Duration,
     /// What was expected when it was sent.
     expected: Duration,
     has_ended: bool,
 }
 
-impl Waiting {
+impl QueuedRequest {
     /// A request that is sent at `now`.
-    pub fn begin(waits: &Rc<BeginWait>, urgency: u8, now: Instant) -> Self {
-        let expected = waits.expected(urgency, now);
+    pub fn begin(estimator: &Rc<QueueWaitEstimator>, urgency: u8, now: Instant) -> Self {
+        let expected = estimator.expected_wait(urgency, now);
         Self {
-            number: waits.enter(urgency, now),
-            waits: Rc::clone(waits),
+            id: estimator.enter(urgency, now),
+            estimator: Rc::clone(estimator),
             urgency,
-            since: now,
-            stood_still: standstill::total(),
+            sent_at: now,
+            standstill_before: standstill::total(),
             expected,
             has_ended: false,
         }
@@ -202,12 +208,12 @@
     }
 
     /// Takes in that it has begun; returns what became of the estimate.
-    pub fn began(mut self, now: Instant) -> Begun {
+    pub fn record_start(mut self, now: Instant) -> MeasuredWait {
         self.has_ended = true;
-        let wait = now.saturating_duration_since(self.since);
-        self.learn(wait, now);
-        self.waits.note_begin(now);
-        Begun {
+        let wait = now.saturating_duration_since(self.sent_at);
+        self.record_own_wait(wait, now);
+        self.estimator.record_start(now);
+        MeasuredWait {
             wait,
             expected: self.expected,
         }
@@ -215,41 +221,41 @@
 
     /// Takes in that it was given up at `now` before it had begun. Only where it had waited longer than was
     /// expected something is learnt.
-    pub fn gave_up(mut self, now: Instant) {
-        self.end_before_begin(now);
+    pub fn abandon(mut self, now: Instant) {
+        self.end_before_start(now);
     }
 
-    fn end_before_begin(&mut self, now: Instant) {
+    fn end_before_start(&mut self, now: Instant) {
         if std::mem::replace(&mut self.has_ended, true) {
             return;
         }
-        let wait = now.saturating_duration_since(self.since);
+        let wait = now.saturating_duration_since(self.sent_at);
         if wait > self.expected {
-            self.learn(wait, now);
+            self.record_own_wait(wait, now);
         }
     }
 
     /// Takes in its wait. Where this process has stood still meanwhile it may have ended at the replica at any time of that: only
     /// that it was longer than expected is learnt then.
-    fn learn(&self, wait: Duration, now: Instant) {
-        let stood_still = standstill::total().saturating_sub(self.stood_still);
-        let least = wait.saturating_sub(stood_still);
-        if stood_still.is_zero() || least > self.expected {
-            self.waits.note(self.urgency, least, now);
+    fn record_own_wait(&self, wait: Duration, now: Instant) {
+        let standstill = standstill::total().saturating_sub(self.standstill_before);
+        let min_wait = wait.saturating_sub(standstill);
+        if standstill.is_zero() || min_wait > self.expected {
+            self.estimator.record_wait(self.urgency, min_wait, now);
         }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
-        self.end_before_begin(Instant::now());
-        self.waits.leave(self.urgency, self.number);
+        self.end_before_start(Instant::now());
+        self.estimator.leave(self.urgency, self.id);
     }
 }
 
 /// A request that has begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Begun {
+pub struct MeasuredWait {
     /// How long it waited.
     pub wait: Duration,
     /// How long that was expected to take when it was sent.
--- a/crates/gateway/src/replicas/registry.rs
+++ b/crates/gateway/src/replicas/registry.rs
@@ -18,7 +18,7 @@
 
 /// Replicas of the first list that are told one by one. Callers wait for the list, most machines have 0.12 of a
 /// core, and 4,000 lines a second are all that is written.
-const MOST_FIRST_LINES: usize = 100;
+const MAX_FIRST_LIST_LOG_LINES: usize = 100;
 
 /// The replicas listed now.
 #[derive(Debug, Default)]
@@ -31,7 +31,7 @@
     /// The ids of those that lost their entry and are in use for a while.
     without_entry: RefCell<HashSet<String>>,
     /// Replicas of the first list, which is not in force yet.
-    first_listed: Cell<usize>,
+    first_list_count: Cell<usize>,
 }
 
 impl Registry {
@@ -62,13 +62,14 @@
     }
 
     /// The replica in this life, unless another life of it is listed.
-    pub fn current(&self, life: &ReplicaIncarnation) -> Option<Rc<Replica>> {
-        self.get(&life.id).filter(|known| known.life == *life)
+    pub fn current(&self, incarnation: &ReplicaIncarnation) -> Option<Rc<Replica>> {
+        self.get(&incarnation.id)
+            .filter(|known| known.incarnation == *incarnation)
     }
 
     /// Whether this life is listed.
-    pub fn is_current(&self, life: &ReplicaIncarnation) -> bool {
-        self.current(life).is_some()
+    pub fn is_current(&self, incarnation: &ReplicaIncarnation) -> bool {
+        self.current(incarnation).is_some()
     }
 
     /// Whether another replica is listed at the address of this one, or a later life of it: it has ended.
@@ -76,7 +77,7 @@
         let by_id = self.by_id.borrow();
         let is_successor = |other: &Rc<Replica>| {
             let is_other = other.id() != replica.id() && other.pool.peer() == replica.pool.peer();
-            is_other || replica.life.is_before(&other.life)
+            is_other || replica.incarnation.is_before(&other.incarnation)
         };
         by_id.values().any(is_successor)
     }
@@ -91,19 +92,19 @@
         self.by_service.borrow().is_empty()
     }
 
-    /// Takes in one entry; it counts from [`Registry::index`] on. A life that has said that it is leaving never stays
+    /// Takes in one entry; it counts from [`Registry::rebuild_index`] on. A life that has said that it is leaving never stays
     /// after all: an entry that says otherwise is older. So is one of an earlier life.
-    pub fn put(&self, mut entry: ReplicaEntry) {
+    pub fn upsert(&self, mut entry: ReplicaEntry) {
         let known = self.get(&entry.incarnation.id);
         if known
             .as_ref()
-            .is_some_and(|known| entry.incarnation.is_before(&known.life))
+            .is_some_and(|known| entry.incarnation.is_before(&known.incarnation))
         {
             return;
         }
-        self.note_birth(&entry);
+        self.record_birth_reporting(&entry);
         let is_same = |known: &Rc<Replica>| {
-            known.life == entry.incarnation && known.pool.peer() == entry.address
+            known.incarnation == entry.incarnation && known.pool.peer() == entry.address
         };
         match known.filter(is_same) {
             Some(known) => {
@@ -111,13 +112,13 @@
                 log_change(&known, &entry);
                 known.update(entry);
             }
-            None => self.begin_life(entry),
+            None => self.insert_incarnation(entry),
         }
     }
 
     /// Takes in the first entry of a life; nothing of an earlier one of the same replica holds for it.
-    fn begin_life(&self, entry: ReplicaEntry) {
-        self.log_begin(&entry);
+    fn insert_incarnation(&self, entry: ReplicaEntry) {
+        self.log_new_incarnation(&entry);
         let replica = Replica::new(entry);
         let mut by_id = self.by_id.borrow_mut();
         if let Some(earlier) = by_id.insert(replica.id().to_owned(), replica) {
@@ -126,10 +127,10 @@
     }
 
     /// Tells of a new life; of a long first list only of the beginning, see [`Registry::log_first_list`].
-    fn log_begin(&self, entry: &ReplicaEntry) {
+    fn log_new_incarnation(&self, entry: &ReplicaEntry) {
         if self.is_empty() {
-            self.first_listed.set(self.first_listed.get() + 1);
-            if self.first_listed.get() > MOST_FIRST_LINES {
+            self.first_list_count.set(self.first_list_count.get() + 1);
+            if self.first_list_count.get() > MAX_FIRST_LIST_LOG_LINES {
                 return;
             }
         }
@@ -149,17 +150,17 @@
     fn log_first_list(&self) {
         let listed = match self.is_empty() {
             true => 0,
-            false => self.first_listed.take(),
+            false => self.first_list_count.take(),
         };
-        if listed > MOST_FIRST_LINES {
+        if listed > MAX_FIRST_LIST_LOG_LINES {
             log_event!(
                 gateway::REPLICAS_LISTED,
-                "listed={listed} told_one_by_one={MOST_FIRST_LINES}"
+                "listed={listed} told_one_by_one={MAX_FIRST_LIST_LOG_LINES}"
             );
         }
     }
 
-    /// Takes in that an entry is gone; it counts from [`Registry::index`] on. Where `keep_until` is given,
+    /// Takes in that an entry is gone; it counts from [`Registry::rebuild_index`] on. Where `keep_until` is given,
     /// the entry may come back, and its replica stays in use until then, unless it was leaving. True where it stays.
     pub fn remove(&self, id: &str, keep_until: Option<Instant>) -> bool {
         let known = self.get(id).filter(|known| !known.is_leaving());
@@ -170,22 +171,22 @@
                 true
             }
             _ => {
-                self.remove_one(id, GoneReason::Left);
+                self.drop_replica(id, RemovalReason::Left);
                 false
             }
         }
     }
 
     /// Removes the replicas whose entries have not come back by `now`; true where there are any. It counts
-    /// from [`Registry::index`] on.
-    pub fn forget_lapsed(&self, now: Instant) -> bool {
+    /// from [`Registry::rebuild_index`] on.
+    pub fn remove_lapsed(&self, now: Instant) -> bool {
         let mut without_entry = self.without_entry.borrow_mut();
         let mut has_any = false;
         without_entry.retain(|id| {
             let known = self.get(id).filter(|known| known.is_without_entry());
             let has_lapsed = known.as_ref().is_some_and(|known| known.has_lapsed(now));
             if has_lapsed {
-                self.remove_one(id, GoneReason::NotBack);
+                self.drop_replica(id, RemovalReason::NotBack);
                 has_any = true;
             }
             known.is_some() && !has_lapsed
@@ -203,7 +204,7 @@
     }
 
     /// Puts what was taken in into force.
-    pub fn index(&self) {
+    pub fn rebuild_index(&self) {
         let by_id = self.by_id.borrow();
         let mut by_service: HashMap<String, ServiceReplicas> = HashMap::new();
         for replica in by_id.values().filter(|replica| self.may_be_used(replica)) {
@@ -223,7 +224,7 @@
     }
 
     /// Remembers that a service has replicas that say when their lives began, where this entry does.
-    fn note_birth(&self, entry: &ReplicaEntry) {
+    fn record_birth_reporting(&self, entry: &ReplicaEntry) {
         let mut services = self.services_with_births.borrow_mut();
         let is_new = entry.incarnation.born.is_some() && !services.contains(&entry.service);
         if is_new && services.len() < MAX_SERVICES_WITH_BIRTHS {
@@ -234,7 +235,7 @@
     /// Whether the entry of a replica says of its life what is asked for; else another writer may have written it.
     fn may_be_used(&self, replica: &Replica) -> bool {
         let service = &replica.entry().service;
-        replica.life.born.is_some()
+        replica.incarnation.born.is_some()
             || match self.births {
                 Births::Required => false,
                 Births::Optional => true,
@@ -242,7 +243,7 @@
             }
     }
 
-    fn remove_one(&self, id: &str, reason: GoneReason) {
+    fn drop_replica(&self, id: &str, reason: RemovalReason) {
         if let Some(replica) = self.by_id.borrow_mut().remove(id) {
             replica.pool.clear();
             log_event!(gateway::REPLICA_GONE, "replica={id} reason={reason:?}");
@@ -252,7 +253,7 @@
 
 /// Why a replica is out of use for good.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum GoneReason {
+enum RemovalReason {
     /// Its entry is gone while the store was there.
     Left,
     /// Its entry lapsed, and has not come back in time.
--- a/crates/gateway/src/replicas/replica.rs
+++ b/crates/gateway/src/replicas/replica.rs
@@ -7,25 +7,25 @@
 use driftspring_clock::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::begin_wait::BeginWait;
 use super::health::Health;
+use super::queue_wait::QueueWaitEstimator;
 use crate::notices::ReplicaNotices;
 use crate::protocol::{ModelVersion, ReplicaEntry, ReplicaIncarnation};
 use crate::upstream::Pool;
 use crate::weights::WantedWeights;
 
 /// How long a replica is believed to load weights where nobody tells that it has ended.
-const LONGEST_LOAD: Duration = Duration::from_secs(4);
+const WEIGHT_LOAD_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// One life of a replica.
 #[derive(Debug)]
 pub struct Replica {
     /// Which life it is.
-    pub life: ReplicaIncarnation,
+    pub incarnation: ReplicaIncarnation,
     /// The digest of its id, alike for all of its lives: prompts come home to the same place.
     pub id_hash: u64,
     /// The digest of its life: what an earlier life kept or did is not this one's.
-    pub life_hash: u64,
+    pub incarnation_hash: u64,
     /// The connections to it.
     pub pool: Rc<Pool>,
     /// Whether it can be reached.
@@ -33,12 +33,12 @@
     /// What it says of itself in its answers.
     pub notices: ReplicaNotices,
     /// How long requests wait there before they begin.
-    pub waits: Rc<BeginWait>,
+    pub queue_waits: Rc<QueueWaitEstimator>,
     entry: RefCell<ReplicaEntry>,
     listed_models: RefCell<Vec<ModelVersion>>,
     open_requests: Cell<u32>,
-    reading_until: Cell<Option<Instant>>,
-    given_tokens: Cell<u64>,
+    prefill_until: Cell<Option<Instant>>,
+    assigned_prompt_tokens: Cell<u64>,
     loading_since: Cell<Option<Instant>>,
     order_sequence: Cell<Option<u64>>,
     lapses_at: Cell<Option<Instant>>,
@@ -49,26 +49,26 @@
     pub fn new(entry: ReplicaEntry) -> Rc<Self> {
         Rc::new(Self {
             id_hash: xxh3_64(entry.incarnation.id.as_bytes()),
-            life_hash: entry.incarnation.digest(),
-            life: entry.incarnation.clone(),
+            incarnation_hash: entry.incarnation.digest(),
+            incarnation: entry.incarnation.clone(),
             pool: Pool::new(entry.address),
             health: Health::default(),
             notices: ReplicaNotices::default(),
-            waits: Rc::default(),
+            queue_waits: Rc::default(),
             order_sequence: Cell::new(None),
             lapses_at: Cell::new(None),
             listed_models: RefCell::new(entry.models.clone()),
             entry: RefCell::new(entry),
             open_requests: Cell::new(0),
-            reading_until: Cell::new(None),
-            given_tokens: Cell::new(0),
+            prefill_until: Cell::new(None),
+            assigned_prompt_tokens: Cell::new(0),
             loading_since: Cell::new(None),
         })
     }
 
     /// Its id.
     pub fn id(&self) -> &str {
-        &self.life.id
+        &self.incarnation.id
     }
 
     /// Its entry in the store.
@@ -112,11 +112,11 @@
 
     /// Whether it is leaving, as its entry or an answer says. An entry that still says otherwise is older.
     pub fn is_leaving(&self) -> bool {
-        self.entry().is_draining || self.notices.has_said_leaving()
+        self.entry().is_draining || self.notices.has_announced_leaving()
     }
 
     /// Whether it is neither leaving nor without entry for too long.
-    pub fn is_staying(&self, now: Instant) -> bool {
+    pub fn is_eligible(&self, now: Instant) -> bool {
         !self.is_leaving() && !self.has_lapsed(now)
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Takes in that it has at least `version` of the weights of `model`; true where that is news.
-    pub fn note_version(&self, model: &str, version: u64) -> bool {
+    pub fn record_version(&self, model: &str, version: u64) -> bool {
         let mut entry = self.entry.borrow_mut();
         let of_model = entry.models.iter_mut().find(|known| known.model == model);
         match of_model {
@@ -162,9 +162,9 @@
     }
 
     /// Takes in the weights that it says it has.
-    pub fn take_models(&self, models: &[ModelVersion]) {
+    pub fn record_models(&self, models: &[ModelVersion]) {
         for model in models {
-            self.note_version(&model.model, model.version);
+            self.record_version(&model.model, model.version);
         }
     }
 
@@ -192,7 +192,7 @@
     /// Since when it is loading weights; what has taken too long is believed to be over.
     pub fn loading_since(&self) -> Option<Instant> {
         let since = self.loading_since.get()?;
-        (since.elapsed() < LONGEST_LOAD).then_some(since)
+        (since.elapsed() < WEIGHT_LOAD_TIMEOUT).then_some(since)
     }
 
     /// Requests of this daemon that are open there.
@@ -201,32 +201,33 @@
     }
 
     /// Takes in that it was given a prompt of which it has `tokens` to read, by this daemon or another.
-    pub fn note_prompt(&self, tokens: u64, now: Instant) {
-        let time = reading_time(tokens);
-        let begins = self.reading_until.get().map_or(now, |until| until.max(now));
-        self.reading_until.set(Some(begins + time));
-        self.given_tokens.set(self.given_tokens.get() + tokens);
+    pub fn record_prompt(&self, tokens: u64, now: Instant) {
+        let prefill_time = estimated_prefill_time(tokens);
+        let starts_at = self.prefill_until.get().map_or(now, |until| until.max(now));
+        self.prefill_until.set(Some(starts_at + prefill_time));
+        self.assigned_prompt_tokens
+            .set(self.assigned_prompt_tokens.get() + tokens);
     }
 
     /// Tokens that it was given to read so far, by this daemon and by those that report to it.
-    pub fn given_tokens(&self) -> u64 {
-        self.given_tokens.get()
+    pub fn assigned_prompt_tokens(&self) -> u64 {
+        self.assigned_prompt_tokens.get()
     }
 
     /// How long it is still reading prompts, as far as daemons told each other.
-    pub fn reading(&self, now: Instant) -> Duration {
-        let until = self.reading_until.get();
+    pub fn remaining_prefill(&self, now: Instant) -> Duration {
+        let until = self.prefill_until.get();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 }
 
 /// A request that is open at a replica; counts until it is dropped.
 #[derive(Debug)]
-pub struct OpenWork {
+pub struct OpenRequestGuard {
     replica: Rc<Replica>,
 }
 
-impl OpenWork {
+impl OpenRequestGuard {
     /// Counts a request.
     pub fn begin(replica: &Rc<Replica>) -> Self {
         replica.open_requests.set(replica.open_requests.get() + 1);
@@ -236,7 +237,7 @@
     }
 }
 
-impl Drop for OpenWork {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         let open = self.replica.open_requests.get();
         self.replica.open_requests.set(open.saturating_sub(1));
@@ -245,7 +246,7 @@
 
 /// The time in which a replica reads so many tokens of a prompt, as far as is known without asking: the
 /// slowest engine of the operator's sheets.
-pub fn reading_time(tokens: u64) -> Duration {
+pub fn estimated_prefill_time(tokens: u64) -> Duration {
     const TOKENS_PER_MS: u64 = 36;
     Duration::from_millis(tokens / TOKENS_PER_MS)
 }
--- a/crates/gateway/src/replicas/service_replicas.rs
+++ b/crates/gateway/src/replicas/service_replicas.rs
@@ -9,35 +9,39 @@
 use std::ops::Deref;
 use std::rc::Rc;
 
-use super::placement::{PlacementKey, claim};
+use super::placement::{PlacementKey, rendezvous_score};
 use super::replica::Replica;
 
 /// Replicas up to which all of them are compared; of more, so many. Each rank counts as 1 ms, so one behind them would have to be
 /// less busy by that many milliseconds than all of them.
-pub const MOST_COMPARED: usize = 64;
+pub const MAX_COMPARED: usize = 64;
 
 /// The replicas of one service, by id.
 #[derive(Debug, Default)]
 pub struct ServiceReplicas {
     replicas: Vec<Rc<Replica>>,
     id_hashes: Vec<u64>,
-    life_hashes: Vec<u64>,
+    incarnation_hashes: Vec<u64>,
 }
 
 impl ServiceReplicas {
     /// Adds a replica whose id comes after all others.
     pub fn push(&mut self, replica: Rc<Replica>) {
         self.id_hashes.push(replica.id_hash);
-        self.life_hashes.push(replica.life_hash);
+        self.incarnation_hashes.push(replica.incarnation_hash);
         self.replicas.push(replica);
     }
 
-    /// Those that are compared for a request where there are more than [`MOST_COMPARED`], by id: the first in rank for `key`, or,
+    /// Those that are compared for a request where there are more than [`MAX_COMPARED`], by id: the first in rank for `key`, or,
     /// without a key, some that differ from `draw` to `draw`.
-    pub fn compared(&self, key: Option<PlacementKey>, draw: u64) -> Vec<Rc<Replica>> {
+    pub fn select_for_comparison(
+        &self,
+        key: Option<PlacementKey>,
+        random: u64,
+    ) -> Vec<Rc<Replica>> {
         let mut positions = match key {
-            Some(key) => self.first_in_rank(key),
-            None => self.sample(draw),
+            Some(key) => self.top_ranked(key),
+            None => self.sample(random),
         };
         positions.sort_unstable();
         let at = |position: usize| Rc::clone(&self.replicas[position]);
@@ -45,20 +49,20 @@
     }
 
     /// Those whose lives have one of these digests, which are in order.
-    pub fn of_lives(&self, lives: &[u64]) -> Vec<Rc<Replica>> {
-        let hashes = self.life_hashes.iter().enumerate();
+    pub fn with_incarnations(&self, lives: &[u64]) -> Vec<Rc<Replica>> {
+        let hashes = self.incarnation_hashes.iter().enumerate();
         let known = hashes.filter(|(_, hash)| lives.binary_search(hash).is_ok());
         known
             .map(|(position, _)| Rc::clone(&self.replicas[position]))
             .collect()
     }
 
-    fn first_in_rank(&self, key: PlacementKey) -> Vec<usize> {
+    fn top_ranked(&self, key: PlacementKey) -> Vec<usize> {
         let mut first: BinaryHeap<Reverse<(u64, usize)>> =
-            BinaryHeap::with_capacity(MOST_COMPARED + 1);
+            BinaryHeap::with_capacity(MAX_COMPARED + 1);
         for (position, id_hash) in self.id_hashes.iter().enumerate() {
-            let ranked = (claim(*id_hash, key), position);
-            let is_full = first.len() == MOST_COMPARED;
+            let ranked = (rendezvous_score(*id_hash, key), position);
+            let is_full = first.len() == MAX_COMPARED;
             if is_full && first.peek().is_some_and(|last| ranked <= last.0) {
                 continue;
             }
@@ -71,10 +75,10 @@
     }
 
     /// Positions that lie equally far apart: ids are drawn at random, and so are their neighbours.
-    fn sample(&self, draw: u64) -> Vec<usize> {
+    fn sample(&self, random: u64) -> Vec<usize> {
         let count = self.replicas.len();
-        let compared = count.min(MOST_COMPARED);
-        let begin = draw as usize % count.max(1);
+        let compared = count.min(MAX_COMPARED);
+        let begin = random as usize % count.max(1);
         let at = |number: usize| (begin + number * count / compared) % count;
         (0..compared).map(at).collect()
     }
--- a/crates/gateway/src/rollout/load.rs
+++ b/crates/gateway/src/rollout/load.rs
@@ -99,7 +99,7 @@
 ) {
     state.peers.report_load_status(LoadStatus {
         replica: replica.id().to_owned(),
-        born: replica.life.born,
+        born: replica.incarnation.born,
         model: wanted.model.clone(),
         version: wanted.version,
         is_done: end.is_some_and(|end| end.is_ok()),
@@ -165,7 +165,7 @@
             }
             Err(CallError::NotSent(_)) if !holds_token() => return Err(LoadFailure::MayNotOrder),
             Err(CallError::NotSent(_)) => return Err(LoadFailure::AtReplica),
-            Err(CallError::Lost(_) | CallError::TimedOut(_)) => lost += 1,
+            Err(CallError::NoAnswer(_) | CallError::TimedOut(_)) => lost += 1,
         }
         if lost >= max_lost {
             break;
@@ -202,7 +202,7 @@
 
 fn take_report(replica: &Replica, report: &ReplicaReport) {
     replica.set_order_sequence(report.order_sequence);
-    replica.take_models(&report.models);
+    replica.record_models(&report.models);
 }
 
 /// Waits until the replica reports the weights.
@@ -221,7 +221,7 @@
         match report(state, replica).await {
             Some(report) => {
                 silent = 0;
-                replica.take_models(&report.models);
+                replica.record_models(&report.models);
                 let has_ended = !report.is_busy && began.elapsed() > REPORT_LAG;
                 if replica.version_of(&wanted.model) >= Some(wanted.version) {
                     note_loaded(replica, wanted);
@@ -231,7 +231,7 @@
             }
             None => {
                 silent += 1;
-                if silent > 3 || !state.registry.is_current(&replica.life) {
+                if silent > 3 || !state.registry.is_current(&replica.incarnation) {
                     return false;
                 }
             }
@@ -244,17 +244,21 @@
     let call = state.platform.report();
     let answer = upstream::call(&replica.pool, &call, REPORT_TIMEOUT).await;
     let failed = |error: &upstream::CallError| {
-        log::debug!("no report of {:?}: {error}", replica.life);
+        log::debug!("no report of {:?}: {error}", replica.incarnation);
     };
     let (status, body) = answer.inspect_err(failed).ok()?;
     if !status.is_success() {
-        log::debug!("{:?} answered {status} for a report", replica.life);
+        log::debug!("{:?} answered {status} for a report", replica.incarnation);
         return None;
     }
     match state.platform.read_report(&body) {
         Ok(report) if is_of_life(&report, replica) => Some(report),
         Ok(report) => {
-            log::debug!("report of {:?}, not of {:?}", report.born, replica.life);
+            log::debug!(
+                "report of {:?}, not of {:?}",
+                report.born,
+                replica.incarnation
+            );
             None
         }
         Err(error) => {
@@ -267,11 +271,11 @@
 
 /// Whether a report is not that of another life, which has taken other orders and may have other weights.
 fn is_of_life(report: &ReplicaReport, replica: &Replica) -> bool {
-    report.born.is_none() || report.born == replica.life.born
+    report.born.is_none() || report.born == replica.incarnation.born
 }
 
 fn note_loaded(replica: &Replica, wanted: &ModelVersion) {
-    replica.note_version(&wanted.model, wanted.version);
+    replica.record_version(&wanted.model, wanted.version);
     log_event!(
         gateway::WEIGHTS_LOADED,
         "replica={} model={} version={} after={:?}",
--- a/crates/gateway/src/rollout/task.rs
+++ b/crates/gateway/src/rollout/task.rs
@@ -279,11 +279,11 @@
         let Some(replica) = state.registry.get(&id) else {
             continue;
         };
-        progress.begin(&replica.life);
+        progress.begin(&replica.incarnation);
         let (state, progress, wanted) = (Rc::clone(state), Rc::clone(progress), wanted.clone());
         ntex::rt::spawn(async move {
             let end = bring_up_to_date(&state, &replica, wanted, MAX_LOST_ORDERS).await;
-            progress.end(&replica.life, end);
+            progress.end(&replica.incarnation, end);
             state.rollout_wanted.notify_one();
         });
     }
@@ -312,7 +312,7 @@
     replica: Rc<Replica>,
     suspected: ModelVersion,
 ) {
-    if !progress.begin(&replica.life) {
+    if !progress.begin(&replica.incarnation) {
         return;
     }
     progress.tried.borrow_mut().insert(suspected.model.clone());
@@ -326,7 +326,7 @@
         progress.tried.borrow_mut().remove(&suspected.model);
         // Such a refusal says nothing against the replica.
         let end = if is_refused { Ok(()) } else { end };
-        progress.end(&replica.life, end);
+        progress.end(&replica.incarnation, end);
         state.rollout_wanted.notify_one();
     });
 }
@@ -352,7 +352,7 @@
 ) -> Option<Rc<Replica>> {
     let now = Instant::now();
     let may_be_ordered = |replica: &Rc<Replica>| {
-        let own = progress.of(&replica.life);
+        let own = progress.of(&replica.incarnation);
         let is_older = replica
             .version_of(&suspected.model)
             .is_some_and(|version| version < suspected.version);
@@ -361,7 +361,7 @@
         is_older && is_free && !replica.is_leaving() && !replica.health.is_unreachable(now)
     };
     // One that leaves orders unanswered gets few requests: it would come first each time.
-    let failures = |replica: &Rc<Replica>| progress.of(&replica.life).failures_in_row;
+    let failures = |replica: &Rc<Replica>| progress.of(&replica.incarnation).failures_in_row;
     let replicas = configured_replicas(state).into_iter();
     replicas
         .filter(may_be_ordered)
@@ -375,7 +375,7 @@
     wanted: &ModelVersion,
     now: Instant,
 ) -> PlannedReplica {
-    let own = progress.of(&replica.life);
+    let own = progress.of(&replica.incarnation);
     let version = replica.version_of(&wanted.model);
     let deadline = state.times.get().weights_deadline;
     let weights = state.weights.borrow();
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -23,7 +23,7 @@
 use crate::connections::CallerConnections;
 use crate::currency::Currency;
 use crate::metrics::GatewayMetrics;
-use crate::notices::{NoticeNews, NoticeSurvey};
+use crate::notices::{ChangedNotices, NoticeSurvey};
 use crate::own_daemon::{machine, own_daemon, seeds};
 use crate::peers::Peers;
 use crate::peers::message::{Change, Item, ItemKey, WireReplica};
@@ -31,7 +31,7 @@
 use crate::protocol::{Platform, ReplicaEntry, Unreadable, UnreadableReason};
 use crate::quarantine::Quarantine;
 use crate::quota::{Quotas, Tolerance};
-use crate::replicas::{GoneLives, Registry};
+use crate::replicas::{Registry, RemovedIncarnations};
 use crate::rollout::{OrderLease, lease_times};
 use crate::store::{
     self, KnownNamings, Rejected, Rejections, StoreEraTracker, StoreOutage, StorePosition,
@@ -119,7 +119,7 @@
     /// Permits to send to replicas that limit their request rate.
     pub permits: Permits,
     /// Notices from replicas that other gateways have to be told.
-    pub notice_news: NoticeNews,
+    pub changed_notices: ChangedNotices,
     /// Which replicas have given a notice.
     pub notice_survey: NoticeSurvey,
     /// Exchange with other gateways.
@@ -151,7 +151,7 @@
     /// First position that was read in the store's latest era.
     pub store_era_start: Cell<StorePosition>,
     /// Incarnations of replicas whose entries were removed. A copy of the store must not bring them back.
-    pub gone_lives: RefCell<GoneLives>,
+    pub removed_incarnations: RefCell<RemovedIncarnations>,
     /// When this gateway's entry was last found in or written to the store, measured from the process start; zero
     /// before the first time.
     pub own_entry_written_at: Cell<Duration>,
@@ -203,7 +203,7 @@
             retry_budgets,
             quotas,
             permits: Permits::default(),
-            notice_news: NoticeNews::default(),
+            changed_notices: ChangedNotices::default(),
             notice_survey: NoticeSurvey::default(),
             store,
             peers,
@@ -218,7 +218,7 @@
             store_eras: StoreEraTracker::new(Instant::now()),
             store_position: Cell::default(),
             store_era_start: Cell::default(),
-            gone_lives: RefCell::default(),
+            removed_incarnations: RefCell::default(),
             own_entry_written_at: Cell::default(),
             lease: RefCell::new(lease),
             rollout_wanted: Notify::new(),
@@ -258,7 +258,7 @@
                     && let Some(entry) = replica.to_entry()
                 {
                     self.note_restart(&entry);
-                    self.registry.put(entry);
+                    self.registry.upsert(entry);
                     self.has_pending_replicas.set(true);
                 }
             }
@@ -320,10 +320,11 @@
     /// Tells the quarantine that a replica has restarted, if its entry says so: crashes are recorded by incarnation.
     fn note_restart(&self, entry: &ReplicaEntry) {
         let known = self.registry.get(&entry.incarnation.id);
-        if let Some(before) = known.filter(|known| known.life.is_before(&entry.incarnation)) {
+        if let Some(before) = known.filter(|known| known.incarnation.is_before(&entry.incarnation))
+        {
             let after = entry.incarnation.digest();
             self.quarantine
-                .note_next_incarnation(before.life_hash, after);
+                .note_next_incarnation(before.incarnation_hash, after);
         }
     }
 
@@ -338,12 +339,13 @@
         let has_left = listed.as_ref().is_some_and(|replica| replica.is_leaving());
         if !self.registry.remove(id, keep_until) {
             if let Some(gone) = listed {
-                self.quarantine.note_removed_incarnation(gone.life_hash);
+                self.quarantine
+                    .note_removed_incarnation(gone.incarnation_hash);
             }
             // A replica that lapsed during an outage may be alive, and is not recorded as gone.
             store::copied_entries::note_gone(self, id, known);
             if has_left {
-                self.gone_lives.borrow_mut().note_left(id);
+                self.removed_incarnations.borrow_mut().record_leaving(id);
             }
             return;
         }
@@ -367,8 +369,8 @@
     }
 
     /// Removes replicas whose entries have not come back after an outage of the store.
-    pub fn forget_lapsed(&self) {
-        if self.registry.forget_lapsed(Instant::now()) {
+    pub fn remove_lapsed(&self) {
+        if self.registry.remove_lapsed(Instant::now()) {
             self.has_pending_changes.set(true);
             self.has_pending_replicas.set(true);
             self.publish_changes();
@@ -398,7 +400,7 @@
 
     /// Rebuilds the index of the replicas, and wakes what waits for them.
     fn publish_replicas(&self) {
-        self.registry.index();
+        self.registry.rebuild_index();
         self.replicas_listed.notify_waiters();
         let count = i64::try_from(self.registry.len()).unwrap_or(i64::MAX);
         self.status.metrics.replicas.set(count);
--- a/crates/gateway/src/store/copied_entries.rs
+++ b/crates/gateway/src/store/copied_entries.rs
@@ -1,5 +1,5 @@
 //! Entries of replicas that reappear although the replica is gone: because the store was restored from a copy, or because of a
-//! late write after the replica had left. See [`crate::replicas::GoneLives`].
+//! late write after the replica had left. See [`crate::replicas::RemovedIncarnations`].
 
 use driftspring_clock::Instant;
 use driftspring_telemetry::events::gateway;
@@ -17,9 +17,9 @@
         return false;
     }
     let changes = state.store_eras.changes();
-    let mut gone = state.gone_lives.borrow_mut();
+    let mut gone = state.removed_incarnations.borrow_mut();
     let was_held = gone.is_held_back(&entry.id);
-    let is_held = gone.holds_back(entry, changes, Instant::now());
+    let is_held = gone.hold_back(entry, changes, Instant::now());
     if is_held && !was_held {
         state.status.metrics.replicas_held_back.inc();
         log_event!(
@@ -37,15 +37,15 @@
 pub fn note_gone(state: &GatewayState, id: &str, known: Option<&Item>) {
     let changes = state.store_eras.changes();
     let now = Instant::now();
-    let mut gone = state.gone_lives.borrow_mut();
+    let mut gone = state.removed_incarnations.borrow_mut();
     match known {
         Some(Item::Replica(known)) => {
-            gone.note_gone(id, known.born, changes, now);
+            gone.record_removal(id, known.born, changes, now);
             if known.is_draining {
-                gone.note_left(id);
+                gone.record_leaving(id);
             }
         }
-        _ => gone.note_removed(id, changes, now),
+        _ => gone.record_repeated_removal(id, changes, now),
     }
 }
 
@@ -54,14 +54,17 @@
 pub(super) fn note_written(state: &GatewayState, id: &str, position: StorePosition) {
     let start = state.store_era_start.get();
     if position.era == start.era && position.revision > start.revision {
-        state.gone_lives.borrow_mut().forget(id);
+        state.removed_incarnations.borrow_mut().record_rewrite(id);
     }
 }
 
 /// Puts entries into use that were held back for long enough without being removed by the platform. A gateway that follows
 /// another may have missed a removal, so it requests the complete state instead.
 pub fn release(state: &GatewayState) {
-    let released = state.gone_lives.borrow_mut().take_over(Instant::now());
+    let released = state
+        .removed_incarnations
+        .borrow_mut()
+        .release_expired(Instant::now());
     if released.is_empty() {
         return;
     }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -233,7 +233,7 @@
     let is_of_kind =
         |key: &ItemKey| matches!(key, ItemKey::Replica(_)) == (kind == ObjectKind::Replicas);
     let mut known: Vec<ItemKey> = state.peers.log.borrow().items().map(Item::key).collect();
-    let held_back = state.gone_lives.borrow().held_back();
+    let held_back = state.removed_incarnations.borrow().held_back();
     known.extend(held_back.into_iter().map(ItemKey::Replica));
     let is_missing_entry_tolerated = |key: &ItemKey| {
         let changed_ago = state.store_eras.changed_ago(Instant::now());
--- a/crates/gateway/src/upstream/answer.rs
+++ b/crates/gateway/src/upstream/answer.rs
@@ -9,7 +9,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 
-use super::connection::{Connection, describe};
+use super::connection::{Connection, describe_with_causes};
 use super::pool::Pool;
 
 /// An answer broke off before its end, or its framing can't be read.
@@ -74,7 +74,7 @@
                 }
                 Some(Err(error)) => {
                     self.connection = None;
-                    return Err(AnswerError(describe(&error)));
+                    return Err(AnswerError(describe_with_causes(&error)));
                 }
                 None => {
                     self.keep_connection();
--- a/crates/gateway/src/upstream/call.rs
+++ b/crates/gateway/src/upstream/call.rs
@@ -16,7 +16,7 @@
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
 /// Why a call is not sent though its connection has come up.
-const NOT_ANY_MORE: &str = "it may not be sent any more";
+const NO_LONGER_ALLOWED: &str = "it may not be sent any more";
 
 /// Why a call has no answer.
 #[derive(Debug, thiserror::Error)]
@@ -26,7 +26,7 @@
     NotSent(String),
     /// It may have been carried out.
     #[error("no answer: {0}")]
-    Lost(String),
+    NoAnswer(String),
     /// No whole answer came in time; the call may have been carried out.
     #[error("no answer in {0:?}")]
     TimedOut(Duration),
@@ -99,13 +99,13 @@
     let connection = pool.take().await;
     let mut connection = connection.map_err(|error| CallError::NotSent(error.to_string()))?;
     if !may_be_sent() {
-        return Err(CallError::NotSent(NOT_ANY_MORE.to_owned()));
+        return Err(CallError::NotSent(NO_LONGER_ALLOWED.to_owned()));
     }
     let response = connection.send(request).await;
-    let response = response.map_err(|failure| CallError::Lost(failure.to_string()))?;
+    let response = response.map_err(|failure| CallError::NoAnswer(failure.to_string()))?;
     let mut answer = Answer::new(response, connection, Rc::clone(pool));
     let body = answer.collect(MAX_ANSWER_BYTES).await;
-    let body = body.map_err(|error| CallError::Lost(error.to_string()))?;
+    let body = body.map_err(|error| CallError::NoAnswer(error.to_string()))?;
     Ok(CallAnswer {
         status: answer.status(),
         headers: answer.take_headers(),
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -15,7 +15,7 @@
 use super::connector::{ConnectError, connect};
 
 /// How long a connection is kept idle where the peer says nothing about it.
-const DEFAULT_IDLE: Duration = Duration::from_secs(8);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// How much sooner than the peer a kept connection is given up, since both clocks and the way matter.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
@@ -33,7 +33,7 @@
     },
     /// It was sent, in part at least, and may have run.
     #[error("no answer from {peer}: {cause}")]
-    Lost {
+    NoAnswer {
         /// The peer.
         peer: SocketAddr,
         /// The cause.
@@ -81,7 +81,7 @@
             sender,
             driver: driver.abort_handle(),
             peer,
-            usable_until: now + DEFAULT_IDLE,
+            usable_until: now + DEFAULT_IDLE_TIMEOUT,
             is_reused: false,
         })
     }
@@ -92,7 +92,7 @@
     }
 
     /// Whether it will never carry a request again.
-    pub fn is_over(&self, now: Instant) -> bool {
+    pub fn is_expired(&self, now: Instant) -> bool {
         self.sender.is_closed() || now >= self.usable_until
     }
 
@@ -109,9 +109,9 @@
         let sent = self.sender.try_send_request(request).await;
         sent.map_err(|mut error| {
             let was_sent = error.take_message().is_none();
-            let cause = describe(error.error());
+            let cause = describe_with_causes(error.error());
             match was_sent {
-                true => SendFailure::Lost { peer, cause },
+                true => SendFailure::NoAnswer { peer, cause },
                 false => SendFailure::NotSent { peer, cause },
             }
         })
@@ -121,7 +121,7 @@
     pub fn note_keep_alive(&mut self, headers: &HeaderMap) {
         let idle = match peer_idle_time(headers) {
             Some(time) => time.saturating_sub(IDLE_MARGIN),
-            None => DEFAULT_IDLE,
+            None => DEFAULT_IDLE_TIMEOUT,
         };
         self.is_reused = true;
         self.usable_until = Instant::now() + idle;
@@ -129,7 +129,7 @@
 }
 
 /// An error of the HTTP library with its causes.
-pub fn describe(error: &dyn std::error::Error) -> String {
+pub fn describe_with_causes(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/gateway/src/upstream/connector.rs
+++ b/crates/gateway/src/upstream/connector.rs
@@ -14,13 +14,13 @@
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How long a connection may be silent before its peer is probed.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+const PROBE_IDLE_TIME: Duration = Duration::from_secs(1);
 
 /// Time between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Probes without an answer after which the peer counts as gone.
-const PROBES: u32 = 2;
+const MAX_UNANSWERED_PROBES: u32 = 2;
 
 /// Why a connection did not come up.
 #[derive(Debug, thiserror::Error)]
@@ -35,7 +35,7 @@
     },
     /// The peer did not answer in time.
     #[error("connecting to {peer}: no answer")]
-    Silent {
+    TimedOut {
         /// The peer.
         peer: SocketAddr,
     },
@@ -47,7 +47,7 @@
     let connecting = TcpStream::connect(peer);
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await;
     let stream = connected
-        .map_err(|_| ConnectError::Silent { peer })?
+        .map_err(|_| ConnectError::TimedOut { peer })?
         .map_err(failed)?;
     set_options(&SockRef::from(&stream)).map_err(failed)?;
     Ok(stream)
@@ -56,7 +56,7 @@
 /// Whether nobody listens at `peer`: it refuses a connection. One that says nothing may be cut off.
 pub async fn is_refused(peer: SocketAddr) -> bool {
     match connect(peer).await {
-        Ok(_) | Err(ConnectError::Silent { .. }) => false,
+        Ok(_) | Err(ConnectError::TimedOut { .. }) => false,
         Err(ConnectError::Failed { cause, .. }) => cause.kind() == io::ErrorKind::ConnectionRefused,
     }
 }
@@ -64,9 +64,9 @@
 /// Notices a peer that is gone without a word, and sends small messages at once.
 pub fn set_options(socket: &SockRef<'_>) -> io::Result<()> {
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
+        .with_time(PROBE_IDLE_TIME)
         .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_retries(MAX_UNANSWERED_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     socket.set_tcp_nodelay(true)
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -47,7 +47,7 @@
     fn take_idle(&self) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|connection| !connection.is_over(now));
+        idle.retain(|connection| !connection.is_expired(now));
         let position = idle
             .iter()
             .rposition(|connection| connection.is_ready(now))?;
