--- a/crates/clock/tests/clock.rs
+++ b/crates/clock/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The steady clock never goes back, and counts while the machine is suspended.
+//! The clock never goes back, and includes the time for which the machine is suspended.
 
 use std::time::Duration;
 
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -1,11 +1,11 @@
-//! The callers' connections, so that those without an open request can be closed at a planned stop.
+//! Tracks the callers' connections, so that those without an open request can be closed during a planned stop.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 
 use ntex::io::{Id, IoRef};
 
-/// Connections known before closed ones are looked for the first time.
+/// Number of tracked connections at which closed ones are first purged.
 const INITIAL_PURGE_SIZE: usize = 64;
 
 #[derive(Debug)]
@@ -31,7 +31,7 @@
 }
 
 impl CallerConnections {
-    /// Takes in that a request has come on `connection`.
+    /// Records that a request has arrived on `connection`.
     pub fn record_request_start(&self, connection: &IoRef) {
         let mut by_id = self.by_id.borrow_mut();
         let known = by_id
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Takes in that a request's answer has ended.
+    /// Records that the answer to a request has ended.
     pub fn record_request_end(&self, id: Id) {
         if let Some(known) = self.by_id.borrow_mut().get_mut(&id) {
             known.open_requests = known.open_requests.saturating_sub(1);
         }
     }
 
-    /// Closes every connection without an open request; returns how many.
+    /// Closes every connection without an open request, and returns their number.
     pub fn close_idle(&self) -> usize {
         let mut by_id = self.by_id.borrow_mut();
         let is_idle = |known: &CallerConnection| known.open_requests == 0;
--- a/crates/gateway/src/notices/changed_notices.rs
+++ b/crates/gateway/src/notices/changed_notices.rs
@@ -1,4 +1,4 @@
-//! What other daemons are to be told of the notices of replicas.
+//! The replicas of whose notices other gateways are to be informed.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,19 +7,20 @@
 
 use crate::replicas::Replica;
 
-/// Replicas that wait to be told of; more are left out, and each daemon learns of them with its own first answer.
+/// Limit of the pending replicas. Changes beyond it are not sent, and each gateway learns of them with its own
+/// first answer.
 const MAX_PENDING: usize = 1024;
 
 /// The replicas whose notices have changed.
 #[derive(Debug, Default)]
 pub struct ChangedNotices {
     replicas: RefCell<Vec<Rc<Replica>>>,
-    /// Wakes the task that tells.
+    /// Wakes the task that informs the other gateways.
     pub changed: Notify,
 }
 
 impl ChangedNotices {
-    /// Takes in that a replica has told this daemon something new.
+    /// Adds a replica that has reported something new to this gateway.
     pub fn add(&self, replica: &Rc<Replica>) {
         let mut replicas = self.replicas.borrow_mut();
         let is_waiting = replicas.iter().any(|waiting| Rc::ptr_eq(waiting, replica));
@@ -29,7 +30,7 @@
         self.changed.notify_one();
     }
 
-    /// The replicas with news since the last call.
+    /// Takes the replicas that were added since the last call.
     pub fn take(&self) -> Vec<Rc<Replica>> {
         self.replicas.take()
     }
--- a/crates/gateway/src/notices/mod.rs
+++ b/crates/gateway/src/notices/mod.rs
@@ -1,13 +1,13 @@
-//! What replicas say of themselves in the heads of their answers.
+//! Notices: what replicas report about themselves in the headers of their answers.
 //!
-//! A notice holds for one life of a replica. It is evidence beside the replica's entry in the store, which may lag or be out of
-//! reach, and beside its health, which is what this daemon observes.
+//! A notice holds for one incarnation of a replica. It complements the entry of the replica in the store, which
+//! may lag or be unreachable, and its health, which is what this gateway observes.
 //!
-//! - [`limit`]: how many requests a second a replica takes.
-//! - [`replica_notices`]: all that one life has said.
-//! - [`changed_notices`]: what other daemons are to be told.
-//! - [`survey`]: which replicas have said something.
-//! - `record`: takes the notices of an answer in.
+//! - [`limit`]: the request rate that a replica accepts.
+//! - [`replica_notices`]: everything that one incarnation has reported.
+//! - [`changed_notices`]: the changes of which other gateways are to be informed.
+//! - [`survey`]: the replicas that have reported something.
+//! - `record`: records the notices of an answer.
 
 pub mod changed_notices;
 pub mod limit;
--- a/crates/gateway/src/notices/record.rs
+++ b/crates/gateway/src/notices/record.rs
@@ -1,4 +1,4 @@
-//! Takes the notices of an answer in.
+//! Records the notices of answers and of other gateways.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,16 +14,17 @@
 use crate::state::GatewayState;
 use crate::store::Rejected;
 
-/// Who tells of a notice.
+/// The source of a notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoticeSource {
-    /// An answer of the replica to this daemon.
+    /// An answer of the replica to this gateway.
     Answer,
-    /// Another daemon.
+    /// Another gateway.
     Peer,
 }
 
-/// Takes in what the head of an answer to the request `request_id`, which was sent at `sent_at`, says of its replica.
+/// Records what the headers of the answer to the request `request_id`, which was sent at `sent_at`, report
+/// about its replica.
 pub fn record_answer(
     state: &GatewayState,
     request_id: &str,
@@ -62,7 +63,7 @@
     }
 }
 
-/// Takes in that a replica says that it is leaving.
+/// Records that a replica reports that it is leaving.
 pub fn record_leaving(state: &GatewayState, replica: &Rc<Replica>, source: NoticeSource) {
     if !replica.notices.record_leaving() {
         return;
@@ -82,7 +83,7 @@
     state.reject(Rejected::AnswerHead, replica.id(), reason, cause.to_owned());
 }
 
-/// Takes in what a replica says of its limit.
+/// Records what a replica reports about its limit.
 pub fn record_limit(
     state: &GatewayState,
     replica: &Rc<Replica>,
@@ -105,8 +106,8 @@
     }
 }
 
-/// Whether the answer is that of the replica to this request. One that names another request has lost its place, and one
-/// that turns the request away may be that of another life at the same address.
+/// Whether this is the answer of the replica to this request. An answer that names another request was mixed
+/// up, and one that rejects the request may come from another incarnation at the same address.
 fn is_of_replica(request_id: &str, replica: &Replica, answer: &AnswerMeta) -> bool {
     let is_to_request = answer
         .request_id
@@ -128,7 +129,7 @@
 ) {
     let rate = match &answer.request_limit {
         HeaderField::Value(rate) => Some(*rate),
-        // Only what the replica itself has written shows that it names no limit any more.
+        // Only headers that the replica itself has written show that it no longer reports a limit.
         HeaderField::Absent if answer.is_signed => None,
         HeaderField::Absent => return,
         HeaderField::Unreadable(cause) => {
--- a/crates/gateway/src/notices/replica_notices.rs
+++ b/crates/gateway/src/notices/replica_notices.rs
@@ -1,4 +1,4 @@
-//! All that one life of a replica has said of itself.
+//! Everything that one incarnation of a replica has reported about itself.
 
 use std::cell::Cell;
 use std::fmt;
@@ -11,52 +11,52 @@
 use super::limit::LimitNotice;
 use crate::protocol::RequestRate;
 
-/// The shortest pause after a permit was not given: its request goes elsewhere in that time.
+/// Minimum pause after a permit was denied. The request goes elsewhere in that time.
 const MIN_PERMIT_PAUSE: Duration = Duration::from_millis(20);
 
-/// The time between two lines that tell that the same replica was passed over.
+/// Minimum time between two log lines about the same replica.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The share of a pause over which the returns are spread.
+/// The share of a pause over which the retries are spread.
 const PAUSE_JITTER: f64 = 0.25;
 
-/// A time in which a replica wants no requests from this daemon.
+/// A period in which a replica wants no requests from this gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cooldown {
-    /// When the latest answer came that asked for it.
+    /// When the latest answer was received that asked for it.
     pub received_at: Instant,
     /// When it ends.
     pub until: Instant,
 }
 
-/// All that one life of a replica has said of itself.
+/// Everything that one incarnation of a replica has reported about itself.
 #[derive(Debug, Default)]
 pub struct ReplicaNotices {
     limit: Cell<Option<LimitNotice>>,
-    /// When it is worth asking for a permit again.
+    /// When to ask for a permit again.
     permit_retry_at: Cell<Option<Instant>>,
     has_announced_leaving: Cell<bool>,
     cooldown: Cell<Option<Cooldown>>,
     passed_over_logged_at: Cell<Option<Instant>>,
 }
 
-/// Why a replica gets no request for now.
+/// Why a replica gets no requests for now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pause {
-    /// What the replica said.
+    /// What the replica has reported.
     pub cause: PauseCause,
-    /// When it said so last.
+    /// When it was last reported.
     pub said_at: Instant,
     /// When it ends.
     pub until: Instant,
 }
 
-/// What a replica said that keeps requests away from it.
+/// A report of a replica that keeps requests away from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PauseCause {
-    /// It takes so many requests a second, and these are spent.
+    /// The replica accepts this rate of requests, and no permit is available.
     Limit(RequestRate),
-    /// It turned a request of this daemon away and wants no others for a while.
+    /// The replica has rejected a request of this gateway and wants no others for a while.
     Cooldown,
 }
 
@@ -75,17 +75,19 @@
         self.limit.get().and_then(|notice| notice.rate)
     }
 
-    /// Whether the replica has said that it is leaving.
+    /// Whether the replica has announced that it is leaving.
     pub fn has_announced_leaving(&self) -> bool {
         self.has_announced_leaving.get()
     }
 
-    /// Takes in that it has; true where that is news. A life that leaves never stays after all.
+    /// Records that the replica has announced that it is leaving. Returns whether this is new. An incarnation
+    /// that is leaving never stays.
     pub fn record_leaving(&self) -> bool {
         !self.has_announced_leaving.replace(true)
     }
 
-    /// Takes in that it wants no requests from this daemon until then; the latest end holds. True where a line may tell it.
+    /// Records that the replica wants no requests from this gateway for a while; the latest end applies.
+    /// Returns whether it may be logged.
     pub fn record_cooldown(&self, cooldown: Cooldown) -> bool {
         let known = self.cooldown.get();
         if known.is_none_or(|known| known.until < cooldown.until) {
@@ -94,12 +96,13 @@
         known.is_none_or(|known| known.received_at + LOG_INTERVAL <= cooldown.received_at)
     }
 
-    /// Whether the replica has said anything.
+    /// Whether the replica has reported anything.
     pub fn has_any(&self) -> bool {
         self.has_any_to_share() || self.cooldown.get().is_some()
     }
 
-    /// Whether it has said anything that other daemons are to know: a rest is asked of one.
+    /// Whether the replica has reported anything that other gateways should know. A cooldown applies to one
+    /// gateway only.
     pub fn has_any_to_share(&self) -> bool {
         self.limit().is_some() || self.has_announced_leaving()
     }
@@ -109,14 +112,14 @@
         self.limit.get()
     }
 
-    /// Why the replica gets no request at `now`; of two causes the one that holds longer.
+    /// Why the replica gets no request at `now`. Of two pauses it is the one that ends later.
     pub fn pause(&self, now: Instant) -> Option<Pause> {
         let pauses = self.limit_pause().into_iter().chain(self.cooldown_pause());
         let pauses = pauses.filter(|pause| now < pause.until);
         pauses.max_by_key(|pause| pause.until)
     }
 
-    /// Whether the replica wants no requests from this daemon at `now`.
+    /// Whether the replica wants no requests from this gateway at `now`.
     pub fn is_cooling_down(&self, now: Instant) -> bool {
         self.cooldown_pause().is_some_and(|pause| now < pause.until)
     }
@@ -139,7 +142,7 @@
         })
     }
 
-    /// Tells that the replica `id` was passed over, once a second at the most.
+    /// Logs that the replica `id` was passed over, at most once a second.
     pub fn log_passed_over(&self, id: &str, pause: &Pause, now: Instant) {
         let logged_at = self.passed_over_logged_at.get();
         if logged_at.is_some_and(|at| now < at + LOG_INTERVAL) {
@@ -155,15 +158,15 @@
         );
     }
 
-    /// Takes in that no permit was given, and that it is worth asking again after `wait`; `random_fraction`, from 0 to 1, keeps daemons that
-    /// were denied together from coming back together.
+    /// Records that a permit was denied, and that it is worth asking again after `wait`. `random_fraction`,
+    /// from 0 to 1, keeps gateways that were denied together from returning together.
     pub fn pause_for_permits(&self, wait: Duration, random_fraction: f64) {
         let wait = wait.max(MIN_PERMIT_PAUSE);
         let wait = wait + wait.mul_f64(PAUSE_JITTER * random_fraction);
         self.permit_retry_at.set(Some(Instant::now() + wait));
     }
 
-    /// Takes in what an answer says of the limit; true where another one is in force now.
+    /// Records what an answer reports about the limit. Returns whether the limit in force has changed.
     pub fn record_limit(&self, later: LimitNotice) -> bool {
         let known = self.limit.get();
         let next = match known {
--- a/crates/gateway/src/notices/survey.rs
+++ b/crates/gateway/src/notices/survey.rs
@@ -1,4 +1,4 @@
-//! The replicas that have said something of themselves which holds now.
+//! The replicas with notices.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,10 +10,10 @@
 use crate::metrics::GatewayMetrics;
 use crate::replicas::{Registry, Replica};
 
-/// For how long a survey holds: it goes through all replicas, of which there may be ten thousand.
+/// How long a survey is reused. It goes through all replicas, of which there may be ten thousand.
 pub const SURVEY_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// The replicas that have said something of themselves.
+/// The replicas that have reported something about themselves.
 #[derive(Debug, Default)]
 pub struct NoticeSurvey {
     surveyed_at: Cell<Option<Instant>>,
@@ -21,7 +21,8 @@
 }
 
 impl NoticeSurvey {
-    /// The replicas of `registry` that have, as of a second ago or later; counts them in `metrics`.
+    /// The replicas of `registry` with notices, at most [`SURVEY_MAX_AGE`] old. Updates their counts in
+    /// `metrics`.
     pub fn replicas(&self, registry: &Registry, metrics: &GatewayMetrics) -> Rc<Vec<Rc<Replica>>> {
         let now = Instant::now();
         let is_current = |at: Instant| now.saturating_duration_since(at) < SURVEY_MAX_AGE;
--- a/crates/gateway/src/permits/bucket.rs
+++ b/crates/gateway/src/permits/bucket.rs
@@ -1,14 +1,15 @@
-//! The permits for one replica: a token bucket.
+//! The token bucket of the permits for one replica.
 
 use std::time::Duration;
 
 use driftspring_clock::Instant;
 
-/// The time for which permits are saved up beyond one: requests come in lumps, and a bucket that is full loses what comes. With it
-/// at most 4.5 times the limit and 1 are sent in 4 s, where the platform bears 6 times and 5.
+/// The time for which permits accumulate beyond the first one. Requests arrive in bursts, and a full bucket
+/// loses what accrues. With this value at most 4.5 times the limit plus 1 requests are sent in 4 s, where the
+/// platform tolerates 6 times plus 5.
 const BURST_WINDOW: Duration = Duration::from_millis(500);
 
-/// A token bucket, which is filled at a rate that may change.
+/// A token bucket with a refill rate that may change.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
     level: f64,
@@ -16,7 +17,7 @@
 }
 
 impl TokenBucket {
-    /// An empty one: what was sent before it was there is not known.
+    /// An empty bucket, since it is not known what was sent before it existed.
     pub fn empty(now: Instant) -> Self {
         Self {
             level: 0.0,
@@ -24,11 +25,11 @@
         }
     }
 
-    /// Takes a permit at this rate, in permits a second.
+    /// Takes one permit, with a refill rate of `per_second`.
     ///
     /// # Errors
     ///
-    /// There is none before this time has passed.
+    /// No permit is available before the returned time has passed.
     pub fn try_take(&mut self, per_second: f64, now: Instant) -> Result<(), Duration> {
         let elapsed = now.saturating_duration_since(self.filled_at);
         self.filled_at = self.filled_at.max(now);
--- a/crates/gateway/src/permits/issuer.rs
+++ b/crates/gateway/src/permits/issuer.rs
@@ -1,4 +1,4 @@
-//! All permits that one daemon issues.
+//! The permits that this gateway issues.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,17 +9,17 @@
 use super::bucket::TokenBucket;
 use crate::protocol::RequestRate;
 
-/// The least rate at which permits are issued, in requests a second: only an answer tells that a limit has ended, so a replica
-/// that takes next to nothing is asked every 5 s.
+/// The lowest rate at which permits are issued, in requests a second. Only an answer shows that a limit has
+/// ended, so even a replica that accepts next to nothing gets a request every 5 s.
 pub const MIN_RATE: f64 = 0.2;
 
-/// Replicas for which permits are issued at the most, some 50 bytes each.
+/// Limit of the replicas for which permits are issued, at some 50 bytes each.
 const MAX_BUCKETS: usize = 16_384;
 
-/// After this time a bucket that nobody asks for is forgotten where there are many: it is full, and begins empty.
+/// How long an unused bucket is kept once there are many. It is full by then, and a new one starts empty.
 const IDLE_BUCKET_RETENTION: Duration = Duration::from_secs(60);
 
-/// The longest time after which one who is denied a permit asks again.
+/// Upper limit of the time after which a requester that is denied a permit asks again.
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
@@ -28,18 +28,18 @@
     last_asked_at: Instant,
 }
 
-/// The buckets by the digest of the replica's life.
+/// The buckets by the hash of the incarnation of the replica.
 #[derive(Debug, Default)]
 pub struct PermitIssuer {
     by_incarnation: RefCell<HashMap<u64, IssuedBucket>>,
 }
 
 impl PermitIssuer {
-    /// Issues a permit for this life at `share` of its limit, if there is one.
+    /// Issues a permit for this incarnation at `share` of the limit `rate`, if one is available.
     ///
     /// # Errors
     ///
-    /// There is none before this time has passed.
+    /// No permit is available before the returned time has passed.
     pub fn issue(
         &self,
         incarnation: u64,
--- a/crates/gateway/src/permits/mod.rs
+++ b/crates/gateway/src/permits/mod.rs
@@ -1,18 +1,21 @@
-//! Permits to send requests to replicas that limit their rate, which all daemons keep together.
+//! Permits to send requests to replicas that limit their request rate. The gateways enforce these limits
+//! together.
 //!
-//! A replica that takes one request a second from 985 daemons can't be shared out evenly: each would send one in 16 minutes, whether
-//! or not it has one. So one daemon issues the permits for each limited replica, which all daemons choose alike, and
-//! each send asks it first. Asking takes a round trip, and only where a replica has named a limit.
+//! A limit of one request a second can't be divided evenly among 985 gateways: each could send one request in
+//! 16 minutes, whether or not it has one. So one gateway issues the permits for each limited replica. All
+//! gateways choose the same issuer, and ask it before each send. Asking takes a round trip, but only for
+//! replicas that report a limit.
 //!
-//! An issuer that is silent is passed over for the next in rank, which issues a part of the rate: the first may
-//! still be there for others. Where it stays silent to that one too, for 4 s, it is taken for gone, and the next issues in
-//! full: two sides that can't reach each other for longer send up to the limit each.
+//! If an issuer does not answer, the next in rank takes its place. It issues only part of the rate, since the
+//! first may still answer others. Once the first has not answered the second for 4 s either, it is presumed
+//! gone, and the second issues at the full rate. In a network partition that lasts longer, each side sends up
+//! to the limit.
 //!
 //! - [`bucket`]: the permits for one replica.
-//! - [`issuer`]: all permits that this daemon issues.
-//! - [`ranking`]: which daemons issue.
+//! - [`issuer`]: all permits that this gateway issues.
+//! - [`ranking`]: which gateways issue.
 //! - [`silence`]: which of them don't answer.
-//! - `queries`: asks others.
+//! - `queries`: asks other gateways.
 
 pub mod bucket;
 pub mod issuer;
@@ -36,38 +39,38 @@
 use crate::replicas::Replica;
 use crate::state::GatewayState;
 
-/// The pause after no issuer was found: a daemon that has just started learns of the others within some 100 ms.
+/// Pause after no issuer was found. A gateway that has just started learns of the others within some 100 ms.
 const NO_ISSUER_BACKOFF: Duration = Duration::from_millis(250);
 
-/// The permits of one daemon.
+/// The permits of this gateway.
 #[derive(Debug, Default)]
 pub struct Permits {
-    /// Those that it issues.
+    /// The permits that it issues.
     pub issuer: PermitIssuer,
-    /// What it asks others.
+    /// The queries that it sends to others.
     pub queries: PermitQueries,
     silent: SilentIssuers,
 }
 
 impl Permits {
-    /// Takes in that a daemon has answered a question.
+    /// Records that a gateway has answered a query.
     pub fn record_answer(&self, daemon: u64) {
         self.silent.record_answer(daemon);
     }
 }
 
-/// A permit was not given.
+/// A permit was denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitDenied {
-    /// After which time it is worth asking again.
+    /// The time after which to ask again.
     pub wait: Duration,
 }
 
-/// Gets a permit to send one request to a replica; at once where that names no limit.
+/// Acquires a permit to send one request to a replica. It returns at once if the replica reports no limit.
 ///
 /// # Errors
 ///
-/// There is none for now.
+/// No permit is available for now.
 pub async fn acquire(state: &Rc<GatewayState>, replica: &Replica) -> Result<(), PermitDenied> {
     let Some(rate) = replica.notices.limit() else {
         return Ok(());
@@ -88,7 +91,7 @@
     }
 }
 
-/// Asks the issuers of the replica's permits, the first in rank first, until one answers.
+/// Asks the issuers for the replica, in order of rank, until one answers.
 async fn ask_issuers(
     state: &Rc<GatewayState>,
     replica: &Replica,
@@ -105,16 +108,19 @@
             return answer;
         }
         state.status.metrics.permits_unanswered.inc();
-        log::debug!("{name} did not answer for {}", replica.id());
+        log::debug!(
+            "gateway {name} did not answer a permit query for replica {}",
+            replica.id()
+        );
     }
     Err(NO_ISSUER_BACKOFF)
 }
 
-/// Issues a permit for the life with this digest, if there is one, as far as this daemon may; else after which time.
+/// Issues a permit for the incarnation with this hash, as far as the share of this gateway permits.
 ///
 /// # Errors
 ///
-/// There is none for now.
+/// No permit is available before the returned time has passed.
 pub fn issue(
     state: &Rc<GatewayState>,
     incarnation: u64,
@@ -128,7 +134,7 @@
         .issue(incarnation, rate, rate_share, now)
 }
 
-/// Who issues permits, as far as this daemon knows.
+/// The issuer of permits, as far as this gateway knows.
 enum Issuer {
     Own,
     Other { name: String, address: String },
@@ -158,7 +164,7 @@
     }
 }
 
-/// The share of a limit that this daemon issues.
+/// The share of a limit that this gateway issues.
 fn own_rate_share(state: &Rc<GatewayState>, incarnation: u64, now: Instant) -> f64 {
     let directory = state.peers.directory();
     let issuers = ranking::issuers(&directory, incarnation);
--- a/crates/gateway/src/permits/queries.rs
+++ b/crates/gateway/src/permits/queries.rs
@@ -1,4 +1,4 @@
-//! Questions for permits that wait for their answers.
+//! Queries for permits, and the requests that wait for their answers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,10 +12,10 @@
 use crate::replicas::Replica;
 use crate::state::GatewayState;
 
-/// Questions that wait at once; more are not asked, and count as unanswered.
+/// Limit of the pending queries. Beyond it none are sent, and they count as unanswered.
 const MAX_PENDING: usize = 4096;
 
-/// What is asked.
+/// A query to an issuer.
 #[derive(Debug, Clone)]
 pub struct PermitQuery {
     incarnation: u64,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Asks only whether the daemon is there.
+    /// Asks only whether the gateway is alive.
     pub fn probe() -> Self {
         Self {
             incarnation: 0,
@@ -40,27 +40,27 @@
     }
 }
 
-/// The questions of this daemon.
+/// The queries of this gateway.
 #[derive(Debug, Default)]
 pub struct PermitQueries {
     last_nonce: Cell<u64>,
     pending: RefCell<HashMap<u64, oneshot::Sender<WirePermitReply>>>,
     outbox: RefCell<Vec<(WirePermitQuery, String)>>,
-    /// Wakes the task that sends them.
+    /// Wakes the task that sends the queries.
     pub outbox_changed: Notify,
 }
 
 impl PermitQueries {
-    /// The questions to be sent, with their receivers.
+    /// Takes the queries to be sent, with their destinations.
     pub fn take_outbox(&self) -> Vec<(WirePermitQuery, String)> {
         self.outbox.take()
     }
 
-    /// Takes in an answer. One that comes too late is of no use: its request has gone elsewhere.
+    /// Completes the query that this answers. A late answer is dropped, as its request has gone elsewhere.
     pub fn answer(&self, reply: WirePermitReply) {
         let pending = self.pending.borrow_mut().remove(&reply.nonce);
         if let Some(pending) = pending {
-            // Who asked may have gone.
+            // The receiver is gone if its request was dropped.
             let _ = pending.send(reply);
         }
     }
@@ -89,7 +89,7 @@
     }
 }
 
-/// Removes a question that waits, also where its request is dropped meanwhile.
+/// Removes a pending query, even if its request is dropped in the meantime.
 struct PendingQueryGuard<'a> {
     queries: &'a PermitQueries,
     nonce: u64,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Asks a daemon; nothing where it does not answer in time.
+/// Asks a gateway. Returns `None` if it does not answer in time.
 pub(super) async fn ask(
     state: &GatewayState,
     query: PermitQuery,
--- a/crates/gateway/src/permits/ranking.rs
+++ b/crates/gateway/src/permits/ranking.rs
@@ -1,4 +1,4 @@
-//! Which daemons issue the permits for a replica.
+//! The ranking of the gateways that issue the permits for a replica.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 use crate::peers::directory::{Directory, name_digest};
 use crate::peers::message::WireDaemon;
 
-/// Daemons that may issue the permits for one replica: two may be gone, cut off or frozen.
+/// Number of gateways that may issue the permits for one replica. Two of them may be gone, cut off or frozen.
 pub const ISSUERS_PER_REPLICA: usize = 3;
 
-/// The share of the rate of the one before that an issuer gives out where it can't tell that the others are gone. All three
-/// together give out 1.47 times the limit, where the platform bears 1.5 times.
+/// The share of the rate of the issuer ranked before it that an issuer gives out while it can't tell that the
+/// others are gone. All three together give out 1.47 times the limit, where the platform tolerates 1.5 times.
 const SUCCESSOR_SHARE: f64 = 0.35;
 
-/// How long a daemon must find those before it silent before it issues at the full rate. Machines count as in touch after 3 s
-/// without trouble (`contactMs`).
+/// How long the issuers ranked before a gateway must not have answered it before it issues at the full rate.
+/// Machines count as in touch after 3 s without trouble (`contactMs`).
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The daemons that issue the permits for the life with this digest, the first in rank first.
+/// The gateways that issue the permits for the incarnation with this hash, by rank.
 pub fn issuers(directory: &Directory, incarnation: u64) -> Vec<&WireDaemon> {
     let bytes = incarnation.to_le_bytes();
     directory.highest(ISSUERS_PER_REPLICA, |daemon| {
@@ -28,19 +28,19 @@
     })
 }
 
-/// The digests of their names.
+/// The hashes of their names.
 pub fn name_digests(issuers: &[&WireDaemon]) -> Vec<u64> {
     let names = issuers.iter().map(|issuer| name_digest(&issuer.name));
     names.collect()
 }
 
-/// Those that come before the daemon with the digest `own`.
+/// The issuers that are ranked before the gateway with the hash `own`.
 pub fn higher_ranked(issuers: &[u64], own: u64) -> &[u64] {
     let position = issuers.iter().position(|issuer| *issuer == own);
     &issuers[..position.unwrap_or(issuers.len())]
 }
 
-/// The place of the first that is not silent, or is the daemon itself that has the digest `own`.
+/// The position of the first issuer that is not silent, or that is this gateway itself, with the hash `own`.
 pub fn first_responding(
     issuers: &[u64],
     own: u64,
@@ -51,7 +51,8 @@
     issuers.iter().position(responds)
 }
 
-/// The share of a limit that a daemon issues that comes after the issuers `higher_ranked`: all of it where none of these answers it.
+/// The share of a limit that a gateway issues that is ranked after `higher_ranked`: all of it once none of
+/// these answers it.
 pub fn rate_share(higher_ranked: &[u64], silent: &SilentIssuers, now: Instant) -> f64 {
     let is_gone = |issuer: &u64| {
         let silence = silent.silent_for(*issuer, now);
--- a/crates/gateway/src/permits/silence.rs
+++ b/crates/gateway/src/permits/silence.rs
@@ -1,4 +1,4 @@
-//! Which issuers of permits don't answer.
+//! Tracks which issuers of permits don't answer.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,25 +6,25 @@
 
 use driftspring_clock::Instant;
 
-/// How long an answer is waited for: a round trip between zones takes 3 ms, and a machine with 0.12 of a core may be some
-/// ten milliseconds behind.
+/// How long to wait for an answer. A round trip between zones takes 3 ms, and a machine with 0.12 of a core may
+/// lag by some ten milliseconds.
 pub const PERMIT_ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The first pause after which a silent issuer is asked again; each further one is twice as long.
+/// Time after which a silent issuer is asked again. It doubles with each further query.
 const INITIAL_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The longest pause: machines that are gone for good stay listed.
+/// Upper limit of that time. Machines that are gone for good stay listed.
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
-/// The pause between two questions that are only to find out whether a daemon is there.
+/// Time between two queries that only probe whether a gateway is alive.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Questions that were not answered since the last answer.
+/// Queries that were sent since the last answer.
 #[derive(Debug)]
 struct Unanswered {
     first_at: Instant,
     last_at: Instant,
-    /// Questions after the first that were sent once it was taken for silent.
+    /// Number of queries that were sent after the gateway was found silent.
     retries: u32,
 }
 
@@ -40,14 +40,14 @@
     }
 }
 
-/// The daemons with unanswered questions, by the digest of their names.
+/// The gateways with unanswered queries, by the hash of their names.
 #[derive(Debug, Default)]
 pub struct SilentIssuers {
     unanswered: RefCell<HashMap<u64, Unanswered>>,
 }
 
 impl SilentIssuers {
-    /// Takes in that a daemon is sent a question.
+    /// Records that a query is sent to a gateway.
     pub fn record_query(&self, daemon: u64, now: Instant) {
         let mut unanswered = self.unanswered.borrow_mut();
         let queries = unanswered.entry(daemon).or_insert(Unanswered {
@@ -61,12 +61,12 @@
         queries.last_at = now;
     }
 
-    /// Takes in that a daemon has answered.
+    /// Records that a gateway has answered.
     pub fn record_answer(&self, daemon: u64) {
         self.unanswered.borrow_mut().remove(&daemon);
     }
 
-    /// Whether a daemon is passed over.
+    /// Whether a gateway is skipped, because it is silent and not due to be asked again.
     pub fn is_silent(&self, daemon: u64, now: Instant) -> bool {
         let unanswered = self.unanswered.borrow();
         unanswered.get(&daemon).is_some_and(|queries| {
@@ -75,12 +75,12 @@
         })
     }
 
-    /// For how long a daemon has left questions unanswered.
+    /// For how long a gateway has left queries unanswered, if it is silent.
     pub fn silent_for(&self, daemon: u64, now: Instant) -> Option<Duration> {
         self.unanswered.borrow().get(&daemon)?.silence(now)
     }
 
-    /// Whether it is time to find out once more if a daemon is there.
+    /// Whether a gateway is due to be probed.
     pub fn may_probe(&self, daemon: u64, now: Instant) -> bool {
         let unanswered = self.unanswered.borrow();
         unanswered
--- a/crates/gateway/src/replicas/health.rs
+++ b/crates/gateway/src/replicas/health.rs
@@ -1,23 +1,23 @@
-//! Whether a replica can be reached, as seen by the requests sent there.
+//! Reachability and failure rate of a replica, observed by the requests that are sent to it.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use driftspring_clock::Instant;
 
-/// How long a replica is left alone after its first failure; each further one in a row twice as long.
+/// Backoff after the first failure. It doubles with each further consecutive failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// The longest pause.
+/// Upper limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How long a replica is left alone after it said that it is full.
+/// Backoff after a replica reports that it is overloaded.
 const OVERLOAD_BACKOFF: Duration = Duration::from_millis(120);
 
-/// How much one outcome weighs in the share of failures.
+/// Weight of one outcome in the moving average of failures.
 const OUTCOME_WEIGHT: f64 = 0.08;
 
-/// The health of one replica.
+/// Health of one replica.
 #[derive(Debug, Default)]
 pub struct Health {
     consecutive_failures: Cell<u32>,
@@ -27,7 +27,7 @@
 }
 
 impl Health {
-    /// Takes in that the replica could not be reached or broke off; returns how long it is left alone.
+    /// Records that the replica could not be reached or broke off an answer. Returns the backoff that follows.
     pub fn record_failure(&self, now: Instant) -> Duration {
         let failures = self.consecutive_failures.get();
         let backoff = INITIAL_BACKOFF.saturating_mul(1 << failures.min(8));
@@ -37,7 +37,7 @@
         backoff
     }
 
-    /// Takes in that the replica answered; true where it was suspect.
+    /// Records that the replica answered. Returns whether it was suspect before.
     pub fn record_answer(&self) -> bool {
         let was_suspect = self.consecutive_failures.get() > 0;
         self.consecutive_failures.set(0);
@@ -45,12 +45,12 @@
         was_suspect
     }
 
-    /// Takes in that the replica did not run a request, since it is full or loading.
+    /// Records that the replica did not run a request because it is full or loading.
     pub fn record_overload(&self, now: Instant) {
         self.overloaded_until.set(Some(now + OVERLOAD_BACKOFF));
     }
 
-    /// Takes in whether a request that it ran failed there.
+    /// Records whether a request that the replica ran has failed.
     pub fn record_outcome(&self, has_failed: bool) {
         let outcome = f64::from(u8::from(has_failed));
         let rate = self.failure_rate.get();
@@ -58,17 +58,17 @@
             .set(rate + OUTCOME_WEIGHT * (outcome - rate));
     }
 
-    /// The share of recent requests that failed there.
+    /// The moving average of failed requests, from 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate.get()
     }
 
-    /// Whether it could not be reached lately.
+    /// Whether the replica is in backoff because it could not be reached.
     pub fn is_unreachable(&self, now: Instant) -> bool {
         self.suspect_until.get().is_some_and(|until| now < until)
     }
 
-    /// Whether it should get no requests at `now`.
+    /// Whether the replica should get no requests at `now`, because it was unreachable or overloaded.
     pub fn is_suspect(&self, now: Instant) -> bool {
         let is_before = |until: Instant| now < until;
         self.suspect_until.get().is_some_and(is_before)
--- a/crates/gateway/src/replicas/mod.rs
+++ b/crates/gateway/src/replicas/mod.rs
@@ -1,4 +1,4 @@
-//! What is believed of each replica, and the choice of one.
+//! The replicas, what is known of each of them, and the choice among them.
 
 mod health;
 mod placement;
--- a/crates/gateway/src/replicas/placement.rs
+++ b/crates/gateway/src/replicas/placement.rs
@@ -1,15 +1,15 @@
-//! Where a request goes: the replica that answers it soonest, as far as this daemon knows.
+//! Chooses the replica that is expected to answer a request soonest.
 //!
-//! Rendezvous hashing on what a prompt shares ranks the replicas alike at every daemon, so that the shared
-//! parts are read and kept at few of them without a message. The first in rank, the *home*, is expected to
-//! keep them; elsewhere they have to be fetched or read. Against that stands the time for which a replica
-//! is still reading other prompts. Both are milliseconds, so they can be compared.
+//! Rendezvous hashing on the shared prefix of the prompt ranks the replicas identically at every gateway, so
+//! that a shared prefix is computed and cached at few of them without coordination. The first in rank, the
+//! *home*, is expected to have it cached; other replicas have to fetch or recompute it. The other cost is the
+//! time for which a replica is still prefilling other prompts. Both are in milliseconds and so can be compared.
 
 use std::time::Duration;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What a prompt shares with others; equal keys rank the replicas alike.
+/// Hash of the prefix that a prompt shares with others. Equal keys rank the replicas identically.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementKey(pub u64);
 
@@ -18,39 +18,39 @@
 pub struct Candidate {
     /// The hash of its id.
     pub id_hash: u64,
-    /// Requests of this daemon that are open there.
+    /// Requests of this gateway that are open at the replica.
     pub open_requests: u32,
-    /// How long it is still reading prompts, as far as daemons told each other.
+    /// How long the replica will still be prefilling prompts, as far as the gateways have told each other.
     pub remaining_prefill: Duration,
-    /// The share of recent requests that failed there.
+    /// The moving average of failed requests.
     pub failure_rate: f64,
-    /// Whether it has older weights than wanted, for so long that answers lose worth.
+    /// Whether its weights have been older than the wanted ones for so long that its answers lose value.
     pub has_outdated_weights: bool,
-    /// Whether it is in this daemon's zone.
+    /// Whether it is in the zone of this gateway.
     pub is_in_own_zone: bool,
-    /// What it costs to bring shared parts that others keep.
+    /// The time to fetch the shared parts that other replicas have cached.
     pub fetch_time: Duration,
-    /// What it costs to read the shared parts that are kept nowhere, unless this is their home.
+    /// The time to recompute the shared parts that are cached nowhere. It is not counted at their home.
     pub recompute_time: Duration,
 }
 
-/// Milliseconds that one open request counts as: it shares its replica's steps.
+/// Cost of one open request: it shares the steps of its replica.
 const OPEN_REQUEST_COST_MS: f64 = 4.0;
 
-/// Milliseconds that failures count as where all requests fail.
+/// Cost of failures at a replica where all requests fail.
 const FAILURE_COST_MS: f64 = 900.0;
 
-/// Milliseconds that older weights count as.
+/// Cost of outdated weights.
 const OUTDATED_WEIGHTS_COST_MS: f64 = 60.0;
 
-/// Milliseconds that the way to another zone counts as.
+/// Cost of the way to another zone.
 const OTHER_ZONE_COST_MS: f64 = 2.0;
 
-/// Milliseconds that each rank counts as, so that daemons that know the same choose the same.
+/// Cost of each rank, so that gateways with the same knowledge choose the same replica.
 const RANK_COST_MS: f64 = 1.0;
 
-/// The position of the candidate that takes the request, and that of its home. Without a key, which a prompt
-/// has that shares parts, the least loaded candidate takes it. `tie_seed` settles what is equal.
+/// The position of the candidate that takes the request, and that of its home. Without a key, when the prompt
+/// shares no parts, it is the least loaded candidate. `tie_seed` decides between equal ones.
 pub fn place(
     candidates: &[Candidate],
     key: Option<PlacementKey>,
@@ -80,7 +80,7 @@
     time.as_secs_f64() * 1000.0
 }
 
-/// The positions of the candidates, by their claim to `key`.
+/// The positions of the candidates, by descending score for `key`.
 fn rank_candidates(candidates: &[Candidate], key: PlacementKey) -> Vec<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by_cached_key(|index| {
@@ -89,12 +89,12 @@
     order
 }
 
-/// The claim of the replica whose id has this hash to `key`; the highest one is the home.
+/// The score for `key` of the replica whose id has this hash. The replica with the highest score is the home.
 pub fn rendezvous_score(id_hash: u64, key: PlacementKey) -> u64 {
     xxh3_64_with_seed(&key.0.to_le_bytes(), id_hash)
 }
 
-/// What a request waits for at a candidate, in milliseconds; what makes it worse counts as waiting too.
+/// The cost of the load at a candidate in milliseconds. Whatever makes an answer worse counts as time too.
 fn load_cost_ms(candidate: &Candidate) -> f64 {
     let outdated = if candidate.has_outdated_weights {
         OUTDATED_WEIGHTS_COST_MS
--- a/crates/gateway/src/replicas/queue_state.rs
+++ b/crates/gateway/src/replicas/queue_state.rs
@@ -1,24 +1,26 @@
-//! How long requests wait at all replicas of a service together.
+//! The queue wait over all replicas of a service together.
 //!
-//! What one replica's requests waited is learnt once they begin, which is late by that very wait: while lines grow, more is
-//! sent as if it were in time, and a line stands there from then on that only shrinks when less comes than is worked off.
-//! The number of requests that wait, divided by how many begin in a second, tells at once how long the next one will wait
-//! (Little's law), where it is counted over all replicas: at one of them a gateway sees too few.
+//! The wait at one replica becomes known only when a request starts, which is late by that very wait. While
+//! queues grow, more requests are sent as if they were in time, and the resulting queue only shrinks once fewer
+//! requests arrive than are processed. The number of queued requests divided by the rate of starts predicts the
+//! wait of the next request at once (Little's law). It is computed over all replicas, because a gateway sees
+//! too few starts at a single one.
 //!
-//! The load pattern: replicas are gone, or traffic rises, within a second, and the rest can't bear it.
+//! This matters where replicas are lost or traffic rises within a second, and the remaining replicas can't
+//! carry the load.
 
 use std::time::Duration;
 
 use driftspring_clock::Instant;
 
-/// The time in which a begin loses half of its weight. It is as long as a wait that is still in time, so that the rate
-/// is that of the present line.
+/// Half-life of a start. It is as long as a wait that still meets the objective, so that the rate is that of
+/// the present queue.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// The weight of recent begins below which nothing is told of the rate.
+/// Decayed number of recent starts below which no rate is derived from them.
 const MIN_RECENT_STARTS: f64 = 3.0;
 
-/// How often requests began lately.
+/// Exponentially decayed count of the requests that started at a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct RecentStarts {
     count: f64,
@@ -26,7 +28,7 @@
 }
 
 impl RecentStarts {
-    /// None so far.
+    /// A count of zero.
     pub fn none(now: Instant) -> Self {
         Self {
             count: 0.0,
@@ -34,30 +36,30 @@
         }
     }
 
-    /// What is left at `now` of the begins so far: each counts less the longer ago it was.
+    /// The decayed count at `now`: each start counts less the longer ago it was.
     pub fn decayed_count(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at);
         self.count * 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
 
-    /// Takes in that a request began.
+    /// Records that a request has started.
     pub fn record_start(&mut self, now: Instant) {
         self.count = self.decayed_count(now) + 1.0;
         self.at = now;
     }
 }
 
-/// The line at one replica, as far as this gateway sees it.
+/// The queue at one replica, as far as this gateway sees it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueueState {
-    /// Requests that wait and go before the one in question, or beside it.
+    /// Queued requests that start before the one in question, or are as urgent.
     pub queued: usize,
-    /// The weight of recent begins, of any urgency.
+    /// Decayed count of recent starts of any urgency.
     pub recent_starts: f64,
 }
 
-/// How long a request will wait that goes to one of the replicas with these lines, whichever that is; nothing where too
-/// few have begun to tell.
+/// The expected wait of a request that goes to any of the replicas with these queues; zero if too few requests
+/// have started to tell.
 pub fn service_queue_wait(queues: impl Iterator<Item = QueueState>) -> Duration {
     let (mut queued, mut recent_starts) = (0, 0.0);
     for queue in queues {
--- a/crates/gateway/src/replicas/queue_wait.rs
+++ b/crates/gateway/src/replicas/queue_wait.rs
@@ -1,15 +1,16 @@
-//! How long a request will wait at a replica before it begins, estimated from those sent before.
+//! Estimates how long a request will be queued at a replica before it starts, from the requests sent before.
 //!
-//! Two things are known. Requests that began tell how long they had waited; the mean of these waits and
-//! their mean deviation are kept as TCP keeps its round trip time (RFC 6298), so that one sample alone
-//! moves the estimate by a part only. Requests that still wait tell a lower bound: the estimate is not
-//! below what the second oldest of them has waited by now, so it also grows where a replica falls silent.
-//! What was learnt fades while nothing is sent.
+//! There are two sources. Requests that have started tell how long they waited. The mean of these waits and
+//! their mean deviation are kept in the way TCP estimates its round-trip time (RFC 6298), so that a single
+//! sample moves the estimate only in part. Requests that are still queued give a lower bound: the estimate is
+//! never below the present wait of the second oldest of them, so it also grows when a replica stops answering.
+//! Past samples decay while nothing is sent.
 //!
-//! A replica begins urgent requests first. So a request waits at least as long as more urgent ones did,
-//! and nothing follows for it from those that are less urgent.
+//! A replica starts urgent requests first. So a request waits at least as long as more urgent ones did, while
+//! less urgent ones say nothing about it.
 //!
-//! While this process stands still answers wait in its sockets: that time is no wait at a replica.
+//! While this process is suspended, answers wait in its sockets. That time is not counted as a wait at a
+//! replica.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,18 +22,18 @@
 use super::queue_state::{QueueState, RecentStarts};
 use crate::standstill;
 
-/// How much one sample weighs in the mean and in the deviation. A gateway sees about one begin a second of
-/// each replica, and as many from each peer (operator's sheets); with a quarter the last four count most.
+/// Weight of one sample in the mean and in the deviation. A gateway sees about one start a second of each
+/// replica, and as many from each peer (operator's sheets). With a quarter, the last four samples dominate.
 const SAMPLE_WEIGHT: f64 = 0.25;
 
-/// How many deviations beyond the mean are expected: the wait that few requests exceed.
+/// Number of mean deviations that are added to the mean to get the wait that few requests exceed.
 const DEVIATIONS: f64 = 2.0;
 
-/// The time in which what was learnt loses half of its weight. A waiting line of seconds is worked off in
-/// seconds; and between two samples, about a second, no more than a fifth is lost.
+/// Half-life of past samples. A queue of seconds drains within seconds, and between two samples, about a second
+/// apart, no more than a fifth of the weight is lost.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// The waits of requests of one urgency.
+/// Statistics of the waits of requests of one urgency.
 #[derive(Debug, Clone, Copy)]
 struct WaitStatistics {
     mean_s: f64,
@@ -41,7 +42,7 @@
 }
 
 impl WaitStatistics {
-    /// Nothing but no wait at all.
+    /// Initial statistics: no wait at all.
     fn zero(now: Instant) -> Self {
         Self {
             mean_s: 0.0,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// What is left of it at `now`.
+    /// The statistics with the decay up to `now` applied.
     fn decayed(self, now: Instant) -> Self {
         let silence = now.saturating_duration_since(self.at);
         let left = 0.5_f64.powf(silence.as_secs_f64() / HALF_LIFE.as_secs_f64());
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Takes in one wait; what was learnt before has faded by then.
+    /// Adds one sample, after the decay of the earlier ones.
     fn add_sample(&mut self, wait: Duration, now: Instant) {
         *self = self.decayed(now);
         let error_s = wait.as_secs_f64() - self.mean_s;
@@ -81,7 +82,7 @@
     }
 }
 
-/// The waits at one replica.
+/// Estimates the queue waits at one replica.
 #[derive(Debug, Default)]
 pub struct QueueWaitEstimator {
     inner: RefCell<Inner>,
@@ -89,21 +90,22 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// By urgency; 0 goes first.
+    /// By urgency; 0 is the most urgent.
     statistics: BTreeMap<u8, WaitStatistics>,
-    /// Requests that wait, by urgency and the order in which they were sent.
+    /// Queued requests, by urgency and in the order in which they were sent.
     waiting: BTreeMap<u8, BTreeMap<u64, Instant>>,
     last_id: u64,
     recent_starts: Option<RecentStarts>,
 }
 
 impl QueueWaitEstimator {
-    /// How long a request of this urgency that is sent at `now` will wait at the most, but for few.
+    /// An upper bound of the wait of a request of this urgency that is sent at `now`, which few requests
+    /// exceed.
     pub fn expected_wait(&self, urgency: u8, now: Instant) -> Duration {
         self.estimate(urgency, now, WaitStatistics::expected)
     }
 
-    /// How long about half of the requests of this urgency will wait that are sent at `now`.
+    /// The wait that about half of the requests of this urgency exceed that are sent at `now`.
     pub fn typical_wait(&self, urgency: u8, now: Instant) -> Duration {
         self.estimate(urgency, now, WaitStatistics::typical)
     }
@@ -121,7 +123,7 @@
             .max(waiting.max().unwrap_or_default())
     }
 
-    /// Takes in that a request of this urgency began after `wait`, at this gateway or at another one.
+    /// Records that a request of this urgency started after `wait`, at this gateway or at another one.
     pub fn record_wait(&self, urgency: u8, wait: Duration, now: Instant) {
         let mut inner = self.inner.borrow_mut();
         let statistics = inner.statistics.entry(urgency);
@@ -129,7 +131,7 @@
         statistics.add_sample(wait, now);
     }
 
-    /// The line as a request of this urgency sees it that is sent at `now`.
+    /// The queue ahead of a request of this urgency that is sent at `now`.
     pub fn queue_state(&self, urgency: u8, now: Instant) -> QueueState {
         let inner = self.inner.borrow();
         let waiting = inner.waiting.range(..=urgency);
@@ -166,29 +168,29 @@
     }
 }
 
-/// How long the second oldest of the requests that wait has done so: one alone may be lost.
+/// The age of the second oldest queued request. The oldest alone proves nothing, since it may be lost.
 fn second_oldest_age(sent_at: &BTreeMap<u64, Instant>, now: Instant) -> Option<Duration> {
     let second = sent_at.values().nth(1)?;
     Some(now.saturating_duration_since(*second))
 }
 
-/// A request that waits at a replica, until it begins or is dropped. One that is dropped before it began, for
-/// whatever reason, tells that it would have waited longer.
+/// A request that is queued at a replica, until it starts or is dropped. If it is dropped before it starts, for
+/// whatever reason, its wait so far counts as a lower bound of the wait.
 #[derive(Debug)]
 pub struct QueuedRequest {
     estimator: Rc<QueueWaitEstimator>,
     urgency: u8,
     id: u64,
     sent_at: Instant,
-    /// How long this process had stood still in all when it was sent.
+    /// Total time this process had been suspended when the request was sent.
     standstill_before: Duration,
-    /// What was expected when it was sent.
+    /// The wait that was expected when the request was sent.
     expected: Duration,
     has_ended: bool,
 }
 
 impl QueuedRequest {
-    /// A request that is sent at `now`.
+    /// Registers a request that is sent at `now`.
     pub fn begin(estimator: &Rc<QueueWaitEstimator>, urgency: u8, now: Instant) -> Self {
         let expected = estimator.expected_wait(urgency, now);
         Self {
@@ -202,12 +204,12 @@
         }
     }
 
-    /// What was expected when it was sent.
+    /// The wait that was expected when the request was sent.
     pub fn expected(&self) -> Duration {
         self.expected
     }
 
-    /// Takes in that it has begun; returns what became of the estimate.
+    /// Records that the request has started. Returns its wait and the estimate for it.
     pub fn record_start(mut self, now: Instant) -> MeasuredWait {
         self.has_ended = true;
         let wait = now.saturating_duration_since(self.sent_at);
@@ -219,8 +221,8 @@
         }
     }
 
-    /// Takes in that it was given up at `now` before it had begun. Only where it had waited longer than was
-    /// expected something is learnt.
+    /// Records that the request was given up at `now` before it started. Its wait is a sample only if it was
+    /// longer than expected.
     pub fn abandon(mut self, now: Instant) {
         self.end_before_start(now);
     }
@@ -235,8 +237,9 @@
         }
     }
 
-    /// Takes in its wait. Where this process has stood still meanwhile it may have ended at the replica at any time of that: only
-    /// that it was longer than expected is learnt then.
+    /// Adds the wait of this request as a sample. If the process was suspended in the meantime, the wait may
+    /// have ended at the replica at any time of the suspension, so only the rest of it counts, and only if it
+    /// was longer than expected.
     fn record_own_wait(&self, wait: Duration, now: Instant) {
         let standstill = standstill::total().saturating_sub(self.standstill_before);
         let min_wait = wait.saturating_sub(standstill);
@@ -253,11 +256,11 @@
     }
 }
 
-/// A request that has begun.
+/// The wait of a request that has started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MeasuredWait {
-    /// How long it waited.
+    /// How long the request was queued.
     pub wait: Duration,
-    /// How long that was expected to take when it was sent.
+    /// The wait that was expected when the request was sent.
     pub expected: Duration,
 }
--- a/crates/gateway/src/replicas/registry.rs
+++ b/crates/gateway/src/replicas/registry.rs
@@ -1,4 +1,4 @@
-//! All replicas that the store lists.
+//! The registry of all replicas that the store lists.
 
 use driftspring_clock::Instant;
 use driftspring_settings::Births;
@@ -12,30 +12,30 @@
 use super::service_replicas::ServiceReplicas;
 use crate::protocol::{ReplicaEntry, ReplicaIncarnation};
 
-/// Services of which it is remembered that their replicas say when their lives began; more than that a configuration
-/// has. Entries of other writers may name any.
+/// Limit of the services that are remembered as reporting births. No configuration has more, but entries of
+/// other writers may name any service.
 const MAX_SERVICES_WITH_BIRTHS: usize = 1024;
 
-/// Replicas of the first list that are told one by one. Callers wait for the list, most machines have 0.12 of a
-/// core, and 4,000 lines a second are all that is written.
+/// Number of replicas of the first list that are logged one by one. Callers wait for the list, most machines
+/// have 0.12 of a core, and at most 4,000 lines a second are written.
 const MAX_FIRST_LIST_LOG_LINES: usize = 100;
 
-/// The replicas listed now.
+/// The replicas that are listed now.
 #[derive(Debug, Default)]
 pub struct Registry {
     births: Births,
-    /// The services whose replicas say when their lives began, as far as that was seen.
+    /// The services of which some replica has reported when its incarnation started.
     services_with_births: RefCell<HashSet<String>>,
     by_id: RefCell<BTreeMap<String, Rc<Replica>>>,
     by_service: RefCell<HashMap<String, Rc<ServiceReplicas>>>,
-    /// The ids of those that lost their entry and are in use for a while.
+    /// The ids of the replicas that have lost their entry and stay in use for a while.
     without_entry: RefCell<HashSet<String>>,
-    /// Replicas of the first list, which is not in force yet.
+    /// Number of replicas in the first list, while that is not published yet.
     first_list_count: Cell<usize>,
 }
 
 impl Registry {
-    /// An empty registry; `births` says what is asked of entries.
+    /// An empty registry. `births` says whether entries have to report when their incarnations started.
     pub fn new(births: Births) -> Self {
         Self {
             births,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The replicas of a service, by id; one snapshot, which later changes don't touch.
+    /// The replicas of a service by id, as a snapshot that later changes don't affect.
     pub fn of_service(&self, service: &str) -> Rc<ServiceReplicas> {
         let by_service = self.by_service.borrow();
         by_service.get(service).cloned().unwrap_or_default()
@@ -56,23 +56,24 @@
         replicas.cloned().collect()
     }
 
-    /// The latest life of the replica with this id.
+    /// The latest incarnation of the replica with this id.
     pub fn get(&self, id: &str) -> Option<Rc<Replica>> {
         self.by_id.borrow().get(id).cloned()
     }
 
-    /// The replica in this life, unless another life of it is listed.
+    /// The replica in this incarnation, unless another incarnation of it is listed.
     pub fn current(&self, incarnation: &ReplicaIncarnation) -> Option<Rc<Replica>> {
         self.get(&incarnation.id)
             .filter(|known| known.incarnation == *incarnation)
     }
 
-    /// Whether this life is listed.
+    /// Whether this incarnation is listed.
     pub fn is_current(&self, incarnation: &ReplicaIncarnation) -> bool {
         self.current(incarnation).is_some()
     }
 
-    /// Whether another replica is listed at the address of this one, or a later life of it: it has ended.
+    /// Whether another replica is listed at the same address, or a later incarnation of this one. If so, this
+    /// incarnation has ended.
     pub fn is_replaced(&self, replica: &Replica) -> bool {
         let by_id = self.by_id.borrow();
         let is_successor = |other: &Rc<Replica>| {
@@ -82,18 +83,20 @@
         by_id.values().any(is_successor)
     }
 
-    /// How many replicas are listed.
+    /// Number of listed replicas.
     pub fn len(&self) -> usize {
         self.by_id.borrow().len()
     }
 
-    /// Whether no replica is in force: before the last page of the first transfer none is, though some were taken in.
+    /// Whether no replica is published. None is before the last page of the first transfer, even if some have
+    /// been received.
     pub fn is_empty(&self) -> bool {
         self.by_service.borrow().is_empty()
     }
 
-    /// Takes in one entry; it counts from [`Registry::rebuild_index`] on. A life that has said that it is leaving never stays
-    /// after all: an entry that says otherwise is older. So is one of an earlier life.
+    /// Inserts or updates one entry, which takes effect with [`Registry::rebuild_index`]. An incarnation that
+    /// has announced that it is leaving never stays, so an entry that says otherwise is out of date. So is an
+    /// entry of an earlier incarnation.
     pub fn upsert(&self, mut entry: ReplicaEntry) {
         let known = self.get(&entry.incarnation.id);
         if known
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Takes in the first entry of a life; nothing of an earlier one of the same replica holds for it.
+    /// Adds the first entry of an incarnation. It inherits nothing from an earlier one of the same replica.
     fn insert_incarnation(&self, entry: ReplicaEntry) {
         self.log_new_incarnation(&entry);
         let replica = Replica::new(entry);
@@ -126,7 +129,8 @@
         }
     }
 
-    /// Tells of a new life; of a long first list only of the beginning, see [`Registry::log_first_list`].
+    /// Logs a new incarnation. Of a long first list only the beginning is logged, see
+    /// [`Registry::log_first_list`].
     fn log_new_incarnation(&self, entry: &ReplicaEntry) {
         if self.is_empty() {
             self.first_list_count.set(self.first_list_count.get() + 1);
@@ -146,7 +150,7 @@
         );
     }
 
-    /// Tells how many replicas the first list had, where not each has a line, once it is in force.
+    /// Logs the size of the first list once it is published, if not every replica in it was logged.
     fn log_first_list(&self) {
         let listed = match self.is_empty() {
             true => 0,
@@ -160,8 +164,9 @@
         }
     }
 
-    /// Takes in that an entry is gone; it counts from [`Registry::rebuild_index`] on. Where `keep_until` is given,
-    /// the entry may come back, and its replica stays in use until then, unless it was leaving. True where it stays.
+    /// Removes an entry, which takes effect with [`Registry::rebuild_index`]. With `keep_until`, the entry may
+    /// come back and its replica stays in use until then, unless it was leaving. Returns whether it stays in
+    /// use.
     pub fn remove(&self, id: &str, keep_until: Option<Instant>) -> bool {
         let known = self.get(id).filter(|known| !known.is_leaving());
         match (known, keep_until) {
@@ -177,8 +182,8 @@
         }
     }
 
-    /// Removes the replicas whose entries have not come back by `now`; true where there are any. It counts
-    /// from [`Registry::rebuild_index`] on.
+    /// Removes the replicas whose entries have not come back by `now`, which takes effect with
+    /// [`Registry::rebuild_index`]. Returns whether there were any.
     pub fn remove_lapsed(&self, now: Instant) -> bool {
         let mut without_entry = self.without_entry.borrow_mut();
         let mut has_any = false;
@@ -194,7 +199,7 @@
         has_any
     }
 
-    /// When the next replica goes out of use whose entry does not come back.
+    /// When the next replica without an entry goes out of use.
     pub fn next_lapse(&self) -> Option<Instant> {
         let without_entry = self.without_entry.borrow();
         let lapses = without_entry
@@ -203,7 +208,7 @@
         lapses.min()
     }
 
-    /// Puts what was taken in into force.
+    /// Publishes all changes since the last call.
     pub fn rebuild_index(&self) {
         let by_id = self.by_id.borrow();
         let mut by_service: HashMap<String, ServiceReplicas> = HashMap::new();
@@ -223,7 +228,7 @@
         self.log_first_list();
     }
 
-    /// Remembers that a service has replicas that say when their lives began, where this entry does.
+    /// Remembers that the service of this entry has replicas that report births, if this entry does.
     fn record_birth_reporting(&self, entry: &ReplicaEntry) {
         let mut services = self.services_with_births.borrow_mut();
         let is_new = entry.incarnation.born.is_some() && !services.contains(&entry.service);
@@ -232,7 +237,8 @@
         }
     }
 
-    /// Whether the entry of a replica says of its life what is asked for; else another writer may have written it.
+    /// Whether the entry of a replica reports its birth as far as required. An entry without it may be of
+    /// another writer.
     fn may_be_used(&self, replica: &Replica) -> bool {
         let service = &replica.entry().service;
         replica.incarnation.born.is_some()
@@ -251,16 +257,16 @@
     }
 }
 
-/// Why a replica is out of use for good.
+/// Why a replica was removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RemovalReason {
-    /// Its entry is gone while the store was there.
+    /// Its entry was removed while the store was reachable.
     Left,
-    /// Its entry lapsed, and has not come back in time.
+    /// Its entry was missing and has not come back in time.
     NotBack,
 }
 
-/// Logs a change that matters for the choice; the count of orders alone does not.
+/// Logs a change that matters for the choice of a replica; the number of orders alone does not.
 fn log_change(known: &Replica, entry: &ReplicaEntry) {
     let old = known.entry();
     let has_changed = old.is_draining != entry.is_draining || old.models != entry.models;
--- a/crates/gateway/src/replicas/removed_incarnations.rs
+++ b/crates/gateway/src/replicas/removed_incarnations.rs
@@ -1,10 +1,12 @@
-//! Lives of replicas whose entries were gone before the store came back from a copy.
+//! Incarnations of replicas whose entries were removed before the store was restored from a copy.
 //!
-//! The entry of such a life may stand in the copy, though the replica has ended. It is held back until the replica has written
-//! it anew, or for as long as the platform may need to see that nobody renews it.
+//! The copy may contain the entry of such an incarnation although the replica has ended. The entry is held back
+//! until the replica has written it again, or for as long as the platform may need to detect that nobody renews
+//! it.
 //!
-//! A life that had said that it is leaving never comes back: where its entry does, a heartbeat of before took effect late. Requests
-//! must not reach it later than 2 s after it was gone (`drainMs`).
+//! An incarnation that has announced that it is leaving never returns. If its entry does, a heartbeat from
+//! before the removal has taken effect late. Requests must not reach the replica later than 2 s after the
+//! removal (`drainMs`).
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,39 +15,40 @@
 
 use crate::peers::message::WireReplica;
 
-/// Lives that are remembered; the oldest are forgotten first.
+/// Limit of the remembered incarnations; the oldest are evicted first.
 pub const MAX_REMOVED_INCARNATIONS: usize = 1024;
 
-/// How long a life is remembered after its entry was gone: copies are some seconds old.
+/// How long an incarnation is remembered after the removal of its entry. Copies are some seconds old.
 pub const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
-/// How long an entry is held back. The platform removes one after three silent heartbeats (`heartbeatMs`, 1.2 s), here with room
-/// for twice that; one that is still there belongs to a replica that lives, and whose heartbeats change nothing in it.
+/// How long an entry is held back. The platform removes an entry after three missed heartbeats (`heartbeatMs`,
+/// 1.2 s); this leaves room for twice that. An entry that still exists belongs to a live replica whose
+/// heartbeats don't change it.
 pub const HOLD_BACK_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A life whose entry is gone.
+/// An incarnation whose entry was removed.
 #[derive(Debug)]
 struct RemovedIncarnation {
     born: Option<u64>,
     removed_at: Instant,
-    /// How often the store had changed its era by then.
+    /// Number of era changes of the store before the removal.
     era_changes: u64,
-    /// Whether it had said that it is leaving.
+    /// Whether the incarnation had announced that it is leaving.
     has_announced_leaving: bool,
     held_back: Option<HeldEntry>,
 }
 
-/// An entry that stands in a copy.
+/// An entry that is held back because it may come from a copy of the store.
 #[derive(Debug)]
 struct HeldEntry {
     entry: WireReplica,
     since: Instant,
-    /// How often the store had changed its era as the entry was told first.
+    /// Number of era changes of the store before the entry was first received.
     era_changes: u64,
 }
 
 impl RemovedIncarnation {
-    /// Whether it need not be remembered any longer at `now`.
+    /// Whether the incarnation can be forgotten at `now`.
     fn is_expired(&self, now: Instant) -> bool {
         let (since, time) = match &self.held_back {
             Some(held) => (held.since, HOLD_BACK_TIMEOUT),
@@ -55,14 +58,15 @@
     }
 }
 
-/// The lives that are remembered, by the replica's id.
+/// The remembered incarnations, by the id of the replica.
 #[derive(Debug, Default)]
 pub struct RemovedIncarnations {
     by_id: HashMap<String, RemovedIncarnation>,
 }
 
 impl RemovedIncarnations {
-    /// Takes in that the entry of this life is gone, at `now`, when the store had changed its era so often.
+    /// Records that the entry of this incarnation was removed at `now`, after `era_changes` era changes of the
+    /// store.
     pub fn record_removal(&mut self, id: &str, born: Option<u64>, era_changes: u64, now: Instant) {
         if self.by_id.len() >= MAX_REMOVED_INCARNATIONS && !self.by_id.contains_key(id) {
             self.evict_oldest();
@@ -77,14 +81,15 @@
         self.by_id.insert(id.to_owned(), life);
     }
 
-    /// Takes in that the life of this replica that is gone had said that it is leaving.
+    /// Records that the removed incarnation of this replica had announced that it is leaving.
     pub fn record_leaving(&mut self, id: &str) {
         if let Some(life) = self.by_id.get_mut(id) {
             life.has_announced_leaving = true;
         }
     }
 
-    /// Takes in that the replica has written its entry anew: nothing is held back, unless it had left.
+    /// Records that the replica has written its entry again. It is not held back from then on, unless the
+    /// replica had announced that it is leaving.
     pub fn record_rewrite(&mut self, id: &str) {
         if self
             .by_id
@@ -95,8 +100,8 @@
         }
     }
 
-    /// Whether an entry that is told when the store has changed its era `era_changes` times may be that of a life that was gone
-    /// before: it is held back then.
+    /// Whether an entry that is received after `era_changes` era changes of the store may be that of an
+    /// incarnation that was removed before. If so, it is held back.
     pub fn hold_back(&mut self, entry: &WireReplica, era_changes: u64, now: Instant) -> bool {
         let Some(removed) = self.by_id.get_mut(&entry.id) else {
             return false;
@@ -106,7 +111,7 @@
             return true;
         }
         let is_same_era = removed.era_changes == era_changes;
-        // In a further era it may be that of an older copy.
+        // In a further era the entry may come from an older copy.
         let held = removed.held_back.take();
         let held = held.filter(|held| held.era_changes == era_changes);
         let is_changed = held.as_ref().is_some_and(|held| held.entry != *entry);
@@ -129,7 +134,7 @@
         life.is_some_and(|life| life.held_back.is_some())
     }
 
-    /// Takes in that the entry of this replica is gone again, if it was held back.
+    /// Records that the entry of this replica was removed again, if it was held back.
     pub fn record_repeated_removal(&mut self, id: &str, era_changes: u64, now: Instant) {
         let held = self.by_id.get_mut(id);
         if let Some(life) = held.filter(|life| life.held_back.is_some()) {
@@ -148,7 +153,8 @@
         held.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Forgets what need not be remembered any longer at `now`; the entries that are held back no more.
+    /// Forgets the incarnations that need not be remembered any longer at `now`. Returns the entries that are
+    /// no longer held back.
     pub fn release_expired(&mut self, now: Instant) -> Vec<WireReplica> {
         let expired = self.by_id.extract_if(|_, life| life.is_expired(now));
         let released = expired.filter_map(|(_, life)| life.held_back);
--- a/crates/gateway/src/replicas/replica.rs
+++ b/crates/gateway/src/replicas/replica.rs
@@ -1,4 +1,4 @@
-//! One life of a replica, as this daemon knows it.
+//! One incarnation of a replica, as this gateway knows it.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::rc::Rc;
@@ -14,25 +14,27 @@
 use crate::upstream::Pool;
 use crate::weights::WantedWeights;
 
-/// How long a replica is believed to load weights where nobody tells that it has ended.
+/// How long a replica is assumed to load weights if nobody reports the end of the load.
 const WEIGHT_LOAD_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// One life of a replica.
+/// One incarnation of a replica.
 #[derive(Debug)]
 pub struct Replica {
-    /// Which life it is.
+    /// Identifies the incarnation.
     pub incarnation: ReplicaIncarnation,
-    /// The digest of its id, alike for all of its lives: prompts come home to the same place.
+    /// The hash of its id. It is the same for all incarnations, so that prompts keep their home across
+    /// restarts.
     pub id_hash: u64,
-    /// The digest of its life: what an earlier life kept or did is not this one's.
+    /// The hash of its incarnation, since an incarnation inherits neither the cache nor the record of an
+    /// earlier one.
     pub incarnation_hash: u64,
-    /// The connections to it.
+    /// The connections to the replica.
     pub pool: Rc<Pool>,
-    /// Whether it can be reached.
+    /// Whether the replica can be reached.
     pub health: Health,
-    /// What it says of itself in its answers.
+    /// What the replica reports about itself in its answers.
     pub notices: ReplicaNotices,
-    /// How long requests wait there before they begin.
+    /// How long requests are queued there before they start.
     pub queue_waits: Rc<QueueWaitEstimator>,
     entry: RefCell<ReplicaEntry>,
     listed_models: RefCell<Vec<ModelVersion>>,
@@ -66,7 +68,7 @@
         })
     }
 
-    /// Its id.
+    /// The id of the replica.
     pub fn id(&self) -> &str {
         &self.incarnation.id
     }
@@ -76,7 +78,7 @@
         self.entry.borrow()
     }
 
-    /// Takes in a newer entry; versions of weights never go back, since entries lag.
+    /// Applies a newer entry. Versions of weights never decrease, since entries lag.
     pub fn update(&self, mut entry: ReplicaEntry) {
         self.listed_models.replace(entry.models.clone());
         for model in &mut entry.models {
@@ -88,8 +90,8 @@
         self.lapses_at.set(None);
     }
 
-    /// Takes in that its entry is gone, and that it stays in use until `until`, or an entry comes. Hearing
-    /// that again, from another daemon or after another outage, keeps it no longer.
+    /// Records that its entry is missing, and that it stays in use until `until` or until an entry arrives.
+    /// Hearing of it again, from another gateway or after another outage, does not extend the time.
     pub fn keep_until(&self, until: Instant) {
         let earlier = self.lapses_at.get().unwrap_or(until);
         self.lapses_at.set(Some(earlier.min(until)));
@@ -100,22 +102,23 @@
         self.lapses_at.get()
     }
 
-    /// Whether its entry is gone.
+    /// Whether its entry is missing.
     pub fn is_without_entry(&self) -> bool {
         self.lapses_at.get().is_some()
     }
 
-    /// Whether its entry is gone and has not come back in time.
+    /// Whether its entry is missing and has not come back in time.
     pub fn has_lapsed(&self, now: Instant) -> bool {
         self.lapses_at.get().is_some_and(|until| until <= now)
     }
 
-    /// Whether it is leaving, as its entry or an answer says. An entry that still says otherwise is older.
+    /// Whether it is leaving, according to its entry or to an answer. An entry that still says otherwise is out
+    /// of date.
     pub fn is_leaving(&self) -> bool {
         self.entry().is_draining || self.notices.has_announced_leaving()
     }
 
-    /// Whether it is neither leaving nor without entry for too long.
+    /// Whether it may get requests: it is not leaving, and its entry has not been missing for too long.
     pub fn is_eligible(&self, now: Instant) -> bool {
         !self.is_leaving() && !self.has_lapsed(now)
     }
@@ -127,7 +130,7 @@
         of_model.map(|known| known.version)
     }
 
-    /// Takes in that it has at least `version` of the weights of `model`; true where that is news.
+    /// Records that it has at least `version` of the weights of `model`. Returns whether that is new.
     pub fn record_version(&self, model: &str, version: u64) -> bool {
         let mut entry = self.entry.borrow_mut();
         let of_model = entry.models.iter_mut().find(|known| known.model == model);
@@ -140,8 +143,8 @@
         }
     }
 
-    /// Takes in that it does not have the weights `refused` of `model`, for which a request came: it is
-    /// believed to have the next ones that were wanted, or, where none were, those of its entry.
+    /// Records that it does not have the weights `refused` of `model`, for which a request was sent. It is then
+    /// believed to have the next version that was wanted or, if there is none, the version in its entry.
     pub fn correct_version(&self, model: &str, refused: u64, wanted: &WantedWeights) {
         if self.version_of(model) != Some(refused) {
             return;
@@ -161,46 +164,46 @@
         }
     }
 
-    /// Takes in the weights that it says it has.
+    /// Records the weights that it reports.
     pub fn record_models(&self, models: &[ModelVersion]) {
         for model in models {
             self.record_version(&model.model, model.version);
         }
     }
 
-    /// The number of orders that it is believed to have taken, where that is known.
+    /// The number of orders that it is believed to have accepted, if known.
     pub fn order_sequence(&self) -> Option<u64> {
         self.order_sequence.get()
     }
 
-    /// Takes in the number of orders that it has taken.
+    /// Sets the number of orders that it has accepted.
     pub fn set_order_sequence(&self, sequence: u64) {
         self.order_sequence.set(Some(sequence));
     }
 
-    /// Takes in that it has taken one more order.
+    /// Records that it has accepted one more order.
     pub fn count_order(&self) {
         let sequence = self.order_sequence.get().unwrap_or(0);
         self.order_sequence.set(Some(sequence + 1));
     }
 
-    /// Takes in whether it is loading weights.
+    /// Sets since when it is loading weights, if it is.
     pub fn set_loading(&self, since: Option<Instant>) {
         self.loading_since.set(since);
     }
 
-    /// Since when it is loading weights; what has taken too long is believed to be over.
+    /// Since when it is loading weights. A load that has taken too long is assumed to be over.
     pub fn loading_since(&self) -> Option<Instant> {
         let since = self.loading_since.get()?;
         (since.elapsed() < WEIGHT_LOAD_TIMEOUT).then_some(since)
     }
 
-    /// Requests of this daemon that are open there.
+    /// Requests of this gateway that are open there.
     pub fn open_requests(&self) -> u32 {
         self.open_requests.get()
     }
 
-    /// Takes in that it was given a prompt of which it has `tokens` to read, by this daemon or another.
+    /// Records that this gateway or another one sent it a prompt with `tokens` tokens to prefill.
     pub fn record_prompt(&self, tokens: u64, now: Instant) {
         let prefill_time = estimated_prefill_time(tokens);
         let starts_at = self.prefill_until.get().map_or(now, |until| until.max(now));
@@ -209,26 +212,26 @@
             .set(self.assigned_prompt_tokens.get() + tokens);
     }
 
-    /// Tokens that it was given to read so far, by this daemon and by those that report to it.
+    /// Total number of prompt tokens sent to it by this gateway and by those that report to this one.
     pub fn assigned_prompt_tokens(&self) -> u64 {
         self.assigned_prompt_tokens.get()
     }
 
-    /// How long it is still reading prompts, as far as daemons told each other.
+    /// How long it will still be prefilling prompts, as far as the gateways have told each other.
     pub fn remaining_prefill(&self, now: Instant) -> Duration {
         let until = self.prefill_until.get();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 }
 
-/// A request that is open at a replica; counts until it is dropped.
+/// Counts a request as open at a replica until it is dropped.
 #[derive(Debug)]
 pub struct OpenRequestGuard {
     replica: Rc<Replica>,
 }
 
 impl OpenRequestGuard {
-    /// Counts a request.
+    /// Counts one more open request.
     pub fn begin(replica: &Rc<Replica>) -> Self {
         replica.open_requests.set(replica.open_requests.get() + 1);
         Self {
@@ -244,8 +247,8 @@
     }
 }
 
-/// The time in which a replica reads so many tokens of a prompt, as far as is known without asking: the
-/// slowest engine of the operator's sheets.
+/// Estimated time in which a replica prefills this many tokens of a prompt: that of the slowest engine on the
+/// operator's sheets.
 pub fn estimated_prefill_time(tokens: u64) -> Duration {
     const TOKENS_PER_MS: u64 = 36;
     Duration::from_millis(tokens / TOKENS_PER_MS)
--- a/crates/gateway/src/replicas/service_replicas.rs
+++ b/crates/gateway/src/replicas/service_replicas.rs
@@ -1,8 +1,8 @@
-//! The replicas of one service, and which of them are compared for a request.
+//! The replicas of one service, and the selection of those that are compared for a request.
 //!
-//! A service may have ten thousand replicas, and a gateway 0.12 of a core. What is learnt of each replica lies all over the memory:
-//! to rank 9,675 candidates takes 1.19 ms of a whole core, 80 µs where the digests by which they are ranked lie side by side and
-//! only those that can win are looked at (medians, Criterion).
+//! A service may have ten thousand replicas, and a gateway 0.12 of a core. The data of the replicas is
+//! scattered over memory: ranking 9,675 candidates takes 1.19 ms of a whole core, but 80 µs if the hashes by
+//! which they are ranked are contiguous and only candidates that can win are looked at (medians, Criterion).
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,8 +12,8 @@
 use super::placement::{PlacementKey, rendezvous_score};
 use super::replica::Replica;
 
-/// Replicas up to which all of them are compared; of more, so many. Each rank counts as 1 ms, so one behind them would have to be
-/// less busy by that many milliseconds than all of them.
+/// Largest number of replicas that are compared for a request. Each rank costs 1 ms, so a replica of a lower
+/// rank would win only if it were less busy than all of these by that many milliseconds.
 pub const MAX_COMPARED: usize = 64;
 
 /// The replicas of one service, by id.
@@ -25,15 +25,15 @@
 }
 
 impl ServiceReplicas {
-    /// Adds a replica whose id comes after all others.
+    /// Adds a replica whose id is greater than all others.
     pub fn push(&mut self, replica: Rc<Replica>) {
         self.id_hashes.push(replica.id_hash);
         self.incarnation_hashes.push(replica.incarnation_hash);
         self.replicas.push(replica);
     }
 
-    /// Those that are compared for a request where there are more than [`MAX_COMPARED`], by id: the first in rank for `key`, or,
-    /// without a key, some that differ from `draw` to `draw`.
+    /// Selects the replicas that are compared for a request when there are more than [`MAX_COMPARED`], by id:
+    /// the first in rank for `key` or, without a key, a sample that depends on `random`.
     pub fn select_for_comparison(
         &self,
         key: Option<PlacementKey>,
@@ -48,7 +48,7 @@
         positions.into_iter().map(at).collect()
     }
 
-    /// Those whose lives have one of these digests, which are in order.
+    /// The replicas whose incarnations have one of these hashes, which must be sorted.
     pub fn with_incarnations(&self, lives: &[u64]) -> Vec<Rc<Replica>> {
         let hashes = self.incarnation_hashes.iter().enumerate();
         let known = hashes.filter(|(_, hash)| lives.binary_search(hash).is_ok());
@@ -74,7 +74,7 @@
         first.into_iter().map(|ranked| ranked.0.1).collect()
     }
 
-    /// Positions that lie equally far apart: ids are drawn at random, and so are their neighbours.
+    /// Equally spaced positions. Ids are random, and so neighbours are as well.
     fn sample(&self, random: u64) -> Vec<usize> {
         let count = self.replicas.len();
         let compared = count.min(MAX_COMPARED);
--- a/crates/gateway/src/upstream/answer.rs
+++ b/crates/gateway/src/upstream/answer.rs
@@ -1,5 +1,5 @@
-//! An answer that is being read. Dropping it before its end closes its connection at once, which is how
-//! a replica learns that nobody waits any more.
+//! An answer that is being read. Dropping it before its end closes its connection at once, which tells the
+//! replica that nobody waits for the rest.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use super::connection::{Connection, describe_with_causes};
 use super::pool::Pool;
 
-/// An answer broke off before its end, or its framing can't be read.
+/// An answer broke off before its end, or its framing is invalid.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer broke off: {0}")]
 pub struct AnswerError(pub String);
@@ -27,7 +27,7 @@
 }
 
 impl Answer {
-    /// The answer whose head has come on `connection`.
+    /// The answer whose head was received on `connection`.
     pub fn new(response: Response<Incoming>, mut connection: Connection, pool: Rc<Pool>) -> Self {
         let (head, body) = response.into_parts();
         connection.note_keep_alive(&head.headers);
@@ -49,17 +49,17 @@
         &self.head.headers
     }
 
-    /// The headers, which the answer has no more from then on.
+    /// Takes the headers out of the answer.
     pub fn take_headers(&mut self) -> HeaderMap {
         std::mem::take(&mut self.head.headers)
     }
 
-    /// The length of the body, where the head tells it.
+    /// The length of the body, if the head gives it.
     pub fn content_length(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
-    /// The next bytes of the body; nothing once it is whole.
+    /// The next bytes of the body, or `None` at its end.
     ///
     /// # Errors
     ///
@@ -84,24 +84,24 @@
         }
     }
 
-    /// The whole body, up to `limit` bytes.
+    /// Reads the whole body, up to `limit` bytes.
     ///
     /// # Errors
     ///
-    /// The answer broke off, or is longer.
+    /// The answer broke off, or is longer than `limit`.
     pub async fn collect(&mut self, limit: usize) -> Result<Bytes, AnswerError> {
         let mut whole = Vec::new();
         while let Some(piece) = self.next().await? {
             if whole.len() + piece.len() > limit {
                 self.connection = None;
-                return Err(AnswerError(format!("longer than {limit} bytes")));
+                return Err(AnswerError(format!("body is longer than {limit} bytes")));
             }
             whole.extend_from_slice(&piece);
         }
         Ok(Bytes::from(whole))
     }
 
-    /// Closes the connection at once: the replica learns that nobody waits any more.
+    /// Closes the connection at once, which tells the replica that nobody waits for the rest.
     pub fn close(&mut self) {
         self.connection = None;
     }
--- a/crates/gateway/src/upstream/call.rs
+++ b/crates/gateway/src/upstream/call.rs
@@ -1,4 +1,4 @@
-//! Short calls to the store and to replicas, beside callers' requests.
+//! Short calls to the store and to replicas, apart from callers' requests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,27 +12,27 @@
 use super::pool::Pool;
 use crate::protocol::Call;
 
-/// The longest answer to a call, in bytes.
+/// Largest accepted answer to a call, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why a call is not sent though its connection has come up.
-const NO_LONGER_ALLOWED: &str = "it may not be sent any more";
+/// Why a call is not sent although its connection was established.
+const NO_LONGER_ALLOWED: &str = "the call is no longer allowed";
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// It was not sent.
+    /// The call was not sent.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// It may have been carried out.
+    /// The call may have been executed.
     #[error("no answer: {0}")]
     NoAnswer(String),
-    /// No whole answer came in time; the call may have been carried out.
+    /// No complete answer was received in time. The call may have been executed.
     #[error("no answer in {0:?}")]
     TimedOut(Duration),
 }
 
-/// The whole answer to a call.
+/// The complete answer to a call.
 #[derive(Debug)]
 pub struct CallAnswer {
     /// The status.
@@ -43,11 +43,11 @@
     pub body: Bytes,
 }
 
-/// Makes a call and waits for its whole answer.
+/// Makes a call and waits for its complete answer.
 ///
 /// # Errors
 ///
-/// Says whether the call may have been carried out.
+/// The error says whether the call may have been executed.
 pub async fn call(
     pool: &Rc<Pool>,
     call: &Call,
@@ -57,11 +57,12 @@
     Ok((answer.status, answer.body))
 }
 
-/// The same, unless `may_be_sent` says otherwise once the connection is there: one may take a while to come up.
+/// Like [`call`], but asks `may_be_sent` once the connection is established, which may take a while, and sends
+/// nothing if it says no.
 ///
 /// # Errors
 ///
-/// As of [`call`].
+/// See [`call`].
 pub async fn call_if(
     pool: &Rc<Pool>,
     call: &Call,
@@ -75,11 +76,11 @@
     Ok((answer.status, answer.body))
 }
 
-/// The same as [`call`], with the headers of the answer.
+/// Like [`call`], but returns the headers of the answer as well.
 ///
 /// # Errors
 ///
-/// As of [`call`].
+/// See [`call`].
 pub async fn call_with_headers(
     pool: &Rc<Pool>,
     call: &Call,
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection, which carries one request at a time.
+//! A connection that carries one request at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,16 +14,17 @@
 
 use super::connector::{ConnectError, connect};
 
-/// How long a connection is kept idle where the peer says nothing about it.
+/// How long an idle connection is kept if the peer does not specify it.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How much sooner than the peer a kept connection is given up, since both clocks and the way matter.
+/// How much earlier than the peer an idle connection is closed, to allow for differences of the clocks and for
+/// the network latency.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Why a request got no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum SendFailure {
-    /// Not one byte of it was sent.
+    /// No byte of the request was sent.
     #[error("not sent to {peer}: {cause}")]
     NotSent {
         /// The peer.
@@ -31,7 +32,7 @@
         /// The cause.
         cause: String,
     },
-    /// It was sent, in part at least, and may have run.
+    /// The request was sent at least in part, and may have run.
     #[error("no answer from {peer}: {cause}")]
     NoAnswer {
         /// The peer.
@@ -46,7 +47,7 @@
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    /// The other end.
+    /// The peer.
     pub peer: SocketAddr,
     usable_until: Instant,
     /// Whether it has carried a request before.
@@ -72,7 +73,7 @@
             peer,
             cause: std::io::Error::other(error),
         })?;
-        // The driver ends with the connection; what ended it shows at the request that it carried.
+        // The driver ends with the connection. Its error is reported by the request on the connection.
         let driver = tokio::task::spawn_local(async move {
             let _ = driver.await;
         });
@@ -100,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// Says whether the request was sent.
+    /// The error says whether the request was sent.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -117,7 +118,7 @@
         })
     }
 
-    /// Takes in what an answer's head says of how long the peer keeps the connection.
+    /// Applies the `Keep-Alive` header of an answer, which says how long the peer keeps the connection.
     pub fn note_keep_alive(&mut self, headers: &HeaderMap) {
         let idle = match peer_idle_time(headers) {
             Some(time) => time.saturating_sub(IDLE_MARGIN),
@@ -128,7 +129,7 @@
     }
 }
 
-/// An error of the HTTP library with its causes.
+/// The text of an error and of all its causes.
 pub fn describe_with_causes(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
@@ -140,7 +141,7 @@
     text
 }
 
-/// The time of `Keep-Alive: timeout=SECONDS`.
+/// The time in `Keep-Alive: timeout=SECONDS`.
 fn peer_idle_time(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| {
--- a/crates/gateway/src/upstream/connector.rs
+++ b/crates/gateway/src/upstream/connector.rs
@@ -1,4 +1,4 @@
-//! Opens connections.
+//! Opens TCP connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,22 +7,22 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// How long a connection may take to come up.
+/// Time limit for establishing a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How long sent bytes may stay unacknowledged before the peer counts as gone.
+/// How long sent bytes may stay unacknowledged before the peer is considered dead.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a connection may be silent before its peer is probed.
+/// How long a connection may be idle before its peer is probed.
 const PROBE_IDLE_TIME: Duration = Duration::from_secs(1);
 
 /// Time between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which the peer counts as gone.
+/// Number of unanswered probes after which the peer is considered dead.
 const MAX_UNANSWERED_PROBES: u32 = 2;
 
-/// Why a connection did not come up.
+/// Why a connection was not established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
     /// The peer refused it, or the network failed.
@@ -53,7 +53,8 @@
     Ok(stream)
 }
 
-/// Whether nobody listens at `peer`: it refuses a connection. One that says nothing may be cut off.
+/// Whether `peer` refuses connections, so that nothing listens there. A peer that does not answer may be cut
+/// off by the network instead.
 pub async fn is_refused(peer: SocketAddr) -> bool {
     match connect(peer).await {
         Ok(_) | Err(ConnectError::TimedOut { .. }) => false,
@@ -61,7 +62,7 @@
     }
 }
 
-/// Notices a peer that is gone without a word, and sends small messages at once.
+/// Sets options that detect a dead peer and send small messages without delay.
 pub fn set_options(socket: &SockRef<'_>) -> io::Result<()> {
     let keepalive = TcpKeepalive::new()
         .with_time(PROBE_IDLE_TIME)
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,9 +1,9 @@
 //! Connections to replicas and to the store.
 //!
-//! The client of the HTTP library `ntex` keeps its pool to itself: nobody can ask it whether a request
-//! was sent at all, whether bytes nobody asked for wait on a kept connection, or close the connection of
-//! one request at once. These decide what a caller may be told, so this module uses `hyper`'s client of
-//! single connections, the nearest kin, with a separate pool.
+//! The client of the HTTP library `ntex` hides its connection pool: it does not tell whether a request was sent
+//! at all or whether unsolicited bytes wait on an idle connection, and can't close the connection of one
+//! request at once. What a caller may be told depends on these, so this module uses the closest alternative,
+//! the client of `hyper` for single connections, with a pool of its own.
 
 mod answer;
 mod call;
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one peer.
+//! The connection pool of one peer.
 
 use driftspring_clock::Instant;
 use std::cell::RefCell;
@@ -8,10 +8,10 @@
 use super::connection::Connection;
 use super::connector::ConnectError;
 
-/// Idle connections that are kept at the most.
+/// Limit of the idle connections that are kept.
 const MAX_IDLE: usize = 64;
 
-/// The connections to one peer, the most recently used one first.
+/// The idle connections to one peer; the most recently used ones are taken first.
 #[derive(Debug)]
 pub struct Pool {
     peer: SocketAddr,
@@ -32,11 +32,11 @@
         self.peer
     }
 
-    /// A connection that is ready, or a new one.
+    /// Takes an idle connection that is ready, or opens a new one.
     ///
     /// # Errors
     ///
-    /// None is ready, and the peer can't be reached.
+    /// No idle connection is ready, and the peer can't be reached.
     pub async fn take(&self) -> Result<Connection, ConnectError> {
         match self.take_idle() {
             Some(connection) => Ok(connection),
@@ -54,7 +54,7 @@
         Some(idle.remove(position))
     }
 
-    /// Keeps a connection whose last answer has ended.
+    /// Returns a connection whose last answer has ended to the pool.
     pub fn put(&self, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() < MAX_IDLE {
--- a/crates/gateway/tests/begin_wait.rs
+++ b/crates/gateway/tests/begin_wait.rs
@@ -1,4 +1,4 @@
-//! The estimate of the time that a request waits at a replica before it begins.
+//! The estimate of how long a request is queued at a replica before it starts.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/gateway/tests/late_calls.rs
+++ b/crates/gateway/tests/late_calls.rs
@@ -1,7 +1,8 @@
-//! A call that may not be sent any more once its connection is there.
+//! A call must not be sent if it is no longer allowed once its connection is established.
 //!
-//! Found by reading: the token of an order was checked before its connection came up, which may take 0.35 s. Timers stand still with
-//! a suspended machine, so the order went out after the suspension though another daemon had the lease by then.
+//! Found by reading: the token of an order was checked before its connection was established, which may take
+//! 0.35 s. Timers stop while a machine is suspended, so the order was sent after the suspension although
+//! another gateway held the lease by then.
 
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -18,7 +19,7 @@
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// A peer that answers one request on each connection; what it reads comes out of the channel.
+/// A peer that answers one request on each connection. The requests that it reads are sent to the channel.
 fn peer() -> (SocketAddr, Receiver<Vec<u8>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
--- a/crates/gateway/tests/limit_notices.rs
+++ b/crates/gateway/tests/limit_notices.rs
@@ -1,4 +1,4 @@
-//! Which limit of a replica is in force where answers overtake one another.
+//! Which limit of a replica is in force when answers overtake one another.
 
 use std::time::Duration;
 
@@ -7,7 +7,8 @@
 use driftspring_gateway::protocol::RequestRate;
 use quickcheck::quickcheck;
 
-/// An answer that names this limit, in requests a second, by the milliseconds at which its request was sent and it came.
+/// An answer that reports this limit in requests a second, with the times in milliseconds at which its request
+/// was sent and it was received.
 fn answer(began: Instant, limit: Option<f64>, sent_ms: u64, heard_ms: u64) -> LimitNotice {
     LimitNotice {
         rate: limit.and_then(RequestRate::from_per_second),
@@ -37,10 +38,10 @@
     let notices = ReplicaNotices::default();
     notices.record_limit(answer(began, Some(2.0), 0, 10));
     notices.record_limit(answer(began, None, 50, 60));
-    // Another daemon tells late what it heard before.
+    // Another gateway reports late what it received before.
     assert!(!notices.record_limit(answer(began, Some(2.0), 20, 40)));
     assert_eq!(in_force(&notices), None);
-    // This answer may have been written after the end.
+    // This answer may have been written after the limit had ended.
     assert!(notices.record_limit(answer(began, Some(1.0), 20, 70)));
 }
 
@@ -56,8 +57,8 @@
 }
 
 quickcheck! {
-    /// The replica changes its limit at some times, and its answers come in any order. Once an answer comes to a request that was sent after all
-    /// others had come, what it says is in force.
+    /// The replica changes its limit at some times, and its answers arrive in any order. Once an answer arrives
+    /// whose request was sent after all others had arrived, its limit is in force.
     fn the_last_answer_that_nothing_overtook_holds(
         changes: Vec<(u8, Option<u8>)>,
         answers: Vec<(u8, u8, u8)>
--- a/crates/gateway/tests/lines.rs
+++ b/crates/gateway/tests/lines.rs
@@ -1,9 +1,10 @@
-//! Whether one more request is sent, by the lines of all replicas together.
+//! Whether a further request is admitted, judged by the queues of all replicas of a service together.
 //!
-//! Five of twelve replicas were lost within a moment while twice as much came. What had begun lately had waited for 0.5 s when
-//! half of what was sent waited for 1.3 s, so all was sent as if in time, and the lines that grew until that was learnt stayed
-//! until less came. The replay below has the same load: seven gateways that know only of their own requests, and replicas that
-//! work off one request after the other.
+//! Guards against a failure in which five of twelve replicas were lost at once while the load doubled. The
+//! requests that had started recently had waited for 0.5 s, while half of those being sent waited for 1.3 s. So
+//! all were sent as if they were in time, and the queues that grew until the waits were known stayed until the
+//! load decreased. The simulation below has the same load: seven gateways that know only their own requests,
+//! and replicas that process one request after the other.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -20,12 +21,12 @@
 const REPLICAS: usize = 12;
 const LOST: usize = 5;
 
-/// How long a replica works on one request before it begins the next.
+/// How long a replica processes one request before it starts the next.
 const WORK: Duration = Duration::from_millis(100);
 
 const OBJECTIVE: Duration = Duration::from_millis(800);
 
-/// How long callers wait for a request to begin.
+/// How long callers wait for a request to start.
 const PATIENCE: Duration = Duration::from_millis(3200);
 
 const STEP: Duration = Duration::from_millis(1);
@@ -34,7 +35,7 @@
 const LOST_AT_MS: u64 = 2_000;
 const END_MS: u64 = 16_000;
 
-/// Requests a second; the replicas that are left begin 70.
+/// Requests a second. The remaining replicas start 70.
 const RATE: u64 = 105;
 
 const URGENCY: u8 = 1;
@@ -43,7 +44,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Random numbers that a seed gives again (xorshift).
+/// Reproducible pseudo-random numbers (xorshift).
 struct Draws(u64);
 
 impl Draws {
@@ -55,7 +56,7 @@
     }
 }
 
-/// What became of requests.
+/// Counts of requests by their outcome.
 #[derive(Debug, Default, Clone, Copy)]
 struct Outcome {
     came: u32,
@@ -65,7 +66,8 @@
     refused: u32,
 }
 
-/// Requests of one replica: when each was sent, and its wait as its gateway sees it, by rank.
+/// The queued requests of one replica by rank: when each was sent, and its entry in the estimator of its
+/// gateway.
 #[derive(Default)]
 struct Replica {
     own_rank: VecDeque<(Instant, QueuedRequest)>,
@@ -74,7 +76,7 @@
 }
 
 impl Replica {
-    /// Begins the next request where it is due; callers that gave up are gone.
+    /// Starts the next request if one is due, and removes those whose callers gave up.
     fn work(&mut self, now: Instant, outcome: &mut Outcome) {
         for line in [&mut self.own_rank, &mut self.behind] {
             while line
@@ -101,7 +103,8 @@
     }
 }
 
-/// Plays the load, where a request is refused by the lines together if `counts_together`.
+/// Simulates the load. With `checks_service_queue`, requests are refused by the queues of all replicas
+/// together.
 fn play(seed: u64, counts_together: bool) -> Outcome {
     let mut draws = Draws(seed);
     let mut outcome = Outcome::default();
@@ -169,7 +172,8 @@
             return TestResult::discard();
         }
         let queued: usize = shares.iter().map(|share| usize::from(*share)).sum();
-        // Between the least that counts and the next: shares of the least itself may add up to a rounding error less.
+        // Between the least count that is used and the next integer: parts of the least one itself may add up
+        // to a rounding error less.
         let recent_starts = f64::from(recent_starts) + 0.5;
         let one = [QueueState { queued, recent_starts }];
         let shared = shares.iter().map(|share| QueueState {
@@ -220,7 +224,8 @@
 
 #[test]
 fn begins_that_are_just_enough_tell_the_same_however_they_are_shared() {
-    // Thirty-one replicas with three begins in all, the least that counts, added up to 2.9999999999999987 of them.
+    // Three starts divided among thirty-one replicas, the least count that is used, added up to
+    // 2.9999999999999987.
     const SHARES: usize = 31;
     let recent_starts = 3.000_001;
     let one = [QueueState {
--- a/crates/gateway/tests/lives.rs
+++ b/crates/gateway/tests/lives.rs
@@ -1,4 +1,5 @@
-//! Replicas that start again under their ids, and entries that say nothing of the life that wrote them.
+//! Replicas that restart under the same id, and entries that don't report the birth of the incarnation that
+//! wrote them.
 
 #[path = "support/registry_scene.rs"]
 mod registry_scene;
@@ -71,7 +72,7 @@
         }
         assert_eq!(used(&registry), ["r1"]);
         assert!(registry.all().iter().all(|replica| replica.id() == "r1"));
-        // Not even when it alone is left.
+        // It is not used even if no other entry is left.
         registry.remove("r1", None);
         assert!(used(&registry).is_empty());
     }
--- a/crates/gateway/tests/permits.rs
+++ b/crates/gateway/tests/permits.rs
@@ -1,8 +1,9 @@
-//! Permits to send to replicas that limit their rate, against equal shares and against few daemons that may send at all.
+//! Permits to send to replicas that limit their request rate, compared with equal shares and with few gateways
+//! that may send at all.
 //!
-//! Simulated daemons in virtual time with the real buckets, ranking and silence. Half of the requests come to a tenth of the daemons, since
-//! the shares of daemons are uneven. What a replica bears is the rule of the platform: one and a half times its limit in
-//! 4 s, and 5.
+//! Simulates gateways in virtual time, with the real buckets, ranking and tracking of silent issuers. Half of
+//! the requests arrive at a tenth of the gateways, since the load of gateways is uneven. A replica tolerates
+//! what the platform specifies: one and a half times its limit in 4 s, plus 5.
 
 #[path = "support/daemons.rs"]
 mod daemons;
@@ -26,48 +27,48 @@
 
 const SPAN: Duration = Duration::from_secs(4);
 
-/// All replicas of the service name a limit.
+/// All replicas of the service report a limit.
 const REPLICAS: usize = 6;
 
-/// How many times more requests come than the limits allow.
+/// The ratio of the arriving requests to the limits.
 const DEMAND: f64 = 3.0;
 
-/// Nothing comes in this time.
+/// Time without any requests.
 const IDLE: Duration = Duration::from_secs(30);
 
-/// Then so long requests come.
+/// Time with requests, after the idle time.
 const BUSY: Duration = Duration::from_secs(60);
 
-/// What counts as used begins so long after the first request.
+/// Time after the first request before the use of the limits is measured.
 const WARM_UP: Duration = Duration::from_secs(10);
 
-/// The least share of what is allowed that is used while there is load for it.
+/// Minimum share of the allowed requests that must be sent under load.
 const LEAST_USED: f64 = 0.7;
 
-/// Replicas that a request asks for at the most.
+/// Maximum number of replicas that are tried for a request.
 const MOST_ASKED: usize = 6;
 
 const SIZES: [usize; 4] = [4, 20, 90, 985];
 const LIMITS: [f64; 2] = [1.0, 2.5];
 
-/// Who decides whether a daemon may send.
+/// Decides whether a gateway may send.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Way {
-    /// Each daemon has its equal share of each limit.
+    /// Each gateway has an equal share of each limit.
     EqualShares,
-    /// Three daemons have a third of a limit each; the others send nothing.
+    /// Three gateways have a third of a limit each; the others send nothing.
     FewSenders,
-    /// The daemons ask the issuer of the replica.
+    /// The gateways ask the issuer of the replica.
     Permits,
 }
 
-/// Which daemons are out of reach from when to when.
+/// Which gateways are unreachable.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Trouble {
     None,
     /// The first issuer of each replica is gone for good.
     FirstIssuersGone,
-    /// The daemons with even and with odd numbers can't reach each other.
+    /// Gateways with even and with odd numbers can't reach each other.
     Halved,
 }
 
@@ -87,7 +88,7 @@
     began: Instant,
     daemons: Vec<Daemon>,
     by_digest: HashMap<u64, usize>,
-    /// The digests of the issuers of each replica.
+    /// The hashes of the issuers of each replica.
     issuers: Vec<Vec<u64>>,
     gone: HashSet<usize>,
     sends: Vec<Vec<Instant>>,
@@ -258,9 +259,9 @@
 
 #[derive(Debug)]
 struct Outcome {
-    /// The most that a replica got in 4 s, as a share of what it bears.
+    /// The most requests that a replica got in 4 s, as a share of what it tolerates.
     most: f64,
-    /// What the replicas got, as a share of their limits.
+    /// The requests that the replicas got, as a share of their limits.
     used: f64,
 }
 
--- a/crates/gateway/tests/removed_incarnations.rs
+++ b/crates/gateway/tests/removed_incarnations.rs
@@ -1,7 +1,7 @@
-//! Which entries of replicas are held back after the store came back from a copy.
+//! Which entries of replicas are held back after the store was restored from a copy.
 //!
-//! An entry that was gone before the return may stand in the copy, though its replica has ended; one that the replica writes anew
-//! must be used.
+//! The copy may contain an entry that was removed before the restore although its replica has ended. An entry
+//! that the replica writes again must be used.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// A life that was gone at `now`, before any return.
+/// An incarnation that was removed at `now`, before any restore of the store.
 fn gone(born: Option<u64>, now: Instant) -> RemovedIncarnations {
     let mut lives = RemovedIncarnations::default();
     lives.record_removal("r", born, 0, now);
@@ -81,7 +81,7 @@
     let copied = entry("r", Some(7));
     let returned = now + REMOVED_RETENTION - SECOND;
     assert!(lives.hold_back(&copied, 1, returned));
-    // It is held back for the whole time, though the life was gone long ago.
+    // The entry is held back for the whole time, although the incarnation was removed long ago.
     let nearly = returned + HOLD_BACK_TIMEOUT - Duration::from_millis(1);
     assert!(lives.release_expired(nearly).is_empty());
     assert!(lives.hold_back(&copied, 1, nearly));
@@ -104,7 +104,7 @@
     assert!(!lives.is_held_back("r"));
     assert!(lives.release_expired(now + HOLD_BACK_TIMEOUT).is_empty());
     assert!(lives.hold_back(&copied, 2, now + HOLD_BACK_TIMEOUT));
-    // A removal that is told twice changes nothing.
+    // Recording the removal of another replica changes nothing.
     lives.record_repeated_removal("other", 1, now);
     assert!(lives.held_back() == ["r"]);
 }
@@ -133,8 +133,8 @@
 }
 
 quickcheck! {
-    /// Whatever is told in whatever order in one era, an entry is held back only while it is told without a change, and none that
-    /// has been used once is held back again.
+    /// Whatever is received in any order within one era, an entry is held back only as long as it is received
+    /// unchanged, and is never held back again once it was used.
     fn an_entry_that_was_used_is_not_held_back_again(told: Vec<(u8, u8)>) -> bool {
         let now = Instant::now();
         let mut lives = gone(Some(2), now);
--- a/crates/gateway/tests/replicas.rs
+++ b/crates/gateway/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas whose entries come, change, go and come back.
+//! Replicas whose entries are added, changed, removed and restored.
 
 #[path = "support/registry_scene.rs"]
 mod registry_scene;
@@ -164,7 +164,7 @@
     let start = Instant::now();
     let view = View::default();
     view.prove(start, None, start);
-    // The source knew at 5.0 s that the store is back; this daemon learns it 0.8 s later.
+    // The source knew at 5.0 s that the store was reachable again; this gateway learns it 0.8 s later.
     let known_at = start + ms(5000);
     let told_at = known_at + ms(800);
     view.prove(known_at, None, told_at);
@@ -222,9 +222,10 @@
     );
 }
 
-/// A gateway that had been killed with all others called for callers 0.7 s after its start, with the first page of a transfer that
-/// ended 0.9 s later (medians of 301); until then it refused their requests, since what was taken in was not in force: 273
-/// refusals of "all are leaving, tried or unknown" in 1.5 s, of gateways that had said that they were ready.
+/// Guards against a gateway that called itself ready before its replicas were published. It had been killed
+/// together with all others, and was ready 0.7 s after its start, with the first page of a transfer that ended
+/// 0.9 s later (medians of 301). Until then it refused requests, since the received replicas were not
+/// published: 273 refusals of "all are leaving, tried or unknown" in 1.5 s.
 #[test]
 fn replicas_that_are_not_in_force_yet_are_none_to_call_for_callers_with() {
     let registry = Registry::default();
--- a/crates/gateway/tests/service_replicas.rs
+++ b/crates/gateway/tests/service_replicas.rs
@@ -1,8 +1,8 @@
-//! The choice among the replicas of a service with thousands of them.
+//! The choice among the replicas of a service that has thousands of them.
 //!
-//! 985 gateways, most of them with 0.12 of a core, had 9,675 replicas to choose from. Each request looked at every replica, and 2,340 of
-//! 23,096 requests took more than half of their objective to reach one. The gateways' code used 2,164 s of processor time for
-//! 44 s.
+//! Guards against a choice that looks at every replica for each request. 985 gateways, most of them with 0.12
+//! of a core, had 9,675 replicas to choose from: 2,340 of 23,096 requests took more than half of their
+//! objective to reach one, and the code of the gateways used 2,164 s of processor time in 44 s.
 
 #[path = "support/candidates.rs"]
 mod candidates;
@@ -22,7 +22,7 @@
 };
 use quickcheck::quickcheck;
 
-/// Replicas of the largest deployment, and twice as many.
+/// The number of replicas of the largest deployment, and about twice as many.
 const COUNTS: [usize; 2] = [9_675, 20_000];
 
 fn registry(count: usize) -> Registry {
@@ -34,7 +34,7 @@
     registry
 }
 
-/// The replica that `place` chooses where the first in rank reads for `home_reading`.
+/// The replica that `place` chooses while the first in rank is prefilling for `home_prefill`.
 fn placed(replicas: &[Rc<Replica>], key: PlacementKey, home_reading: Duration) -> String {
     let mut candidates: Vec<Candidate> = replicas
         .iter()
@@ -113,8 +113,9 @@
     assert!(none.with_incarnations(&[1, 2]).is_empty());
 }
 
-/// A prefix with which a fourth of all prompts begin comes to some 1,200 replicas within the 20 s for which that is remembered, and
-/// each of 500 reports a second went through all of them twice at every gateway.
+/// Guards against scans of many users of a prefix: one with which a fourth of all prompts begin is sent to some
+/// 1,200 replicas within the 20 s for which this is remembered, and each of 500 reports a second went through
+/// all of them twice at every gateway.
 #[test]
 fn only_the_last_users_of_a_prefix_are_remembered() {
     let holders = PromptHolders::default();
--- a/crates/gateway/tests/support/candidates.rs
+++ b/crates/gateway/tests/support/candidates.rs
@@ -4,7 +4,7 @@
 
 use driftspring_gateway::replicas::Candidate;
 
-/// A near candidate that keeps nothing of the prompt, with so many open requests.
+/// A candidate in the own zone that has cached nothing of the prompt, with `open_requests` open requests.
 pub fn candidate(id_hash: u64, open_requests: u32) -> Candidate {
     Candidate {
         id_hash,
--- a/crates/gateway/tests/support/questions.rs
+++ b/crates/gateway/tests/support/questions.rs
@@ -1,12 +1,13 @@
-//! Questions of daemons, and how earlier versions know them.
+//! Questions that gateways ask each other for changes, and how earlier versions decode them.
 
-// Each test file uses a part.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use driftspring_gateway::peers::message::SyncQuery;
 use musli::{Decode, Encode};
 
-/// A question of a daemon that has the changes of `log` up to `sequence`, with this digest of all items; it knows nothing else.
+/// A question of a gateway that has the changes of `log` up to `sequence`, with the digest `content` of all
+/// items, and knows nothing else.
 pub fn ask(log_id: u64, sequence: u64, content_digest: u64) -> SyncQuery {
     SyncQuery {
         nonce: 1,
@@ -17,7 +18,7 @@
     }
 }
 
-/// A question as a daemon knows it that knows neither eras nor packed replicas.
+/// A question as decoded by a version that knows neither eras nor packed replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct EarlierAsk {
     pub nonce: u64,
@@ -29,7 +30,7 @@
     pub quarantine: Option<u64>,
 }
 
-/// One of its questions.
+/// A question that such a version sends.
 pub fn earlier_ask() -> EarlierAsk {
     EarlierAsk {
         nonce: 1,
--- a/crates/gateway/tests/support/registry_scene.rs
+++ b/crates/gateway/tests/support/registry_scene.rs
@@ -1,6 +1,6 @@
-//! Entries of replicas of one service, and which of them are used.
+//! Entries of the replicas of one service, and the replicas in use.
 
-// Each test file uses a part.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use driftspring_gateway::protocol::{ModelVersion, ReplicaEntry, ReplicaIncarnation};
 use driftspring_gateway::replicas::Registry;
 
-/// The entry of a replica that serves and holds one model, whose life began at `born`.
+/// The entry of a serving replica with one model, whose incarnation started at `born`.
 pub fn entry(id: &str, born: Option<u64>) -> ReplicaEntry {
     ReplicaEntry {
         incarnation: ReplicaIncarnation {
@@ -28,7 +28,7 @@
     }
 }
 
-/// The ids of the replicas that are used after all that the registry has taken in.
+/// The ids of the replicas in use after all changes of the registry are published.
 pub fn used(registry: &Registry) -> Vec<String> {
     registry.rebuild_index();
     let replicas = registry.of_service("service");
