--- a/crates/gateway/src/pipeline/account.rs
+++ b/crates/gateway/src/pipeline/account.rs
@@ -78,7 +78,7 @@
 
     /// Events of a stream are passed on.
     pub fn record_events(&mut self) {
-        self.timing.note_events(self.arrived_at, Instant::now());
+        self.timing.record_events(self.arrived_at, Instant::now());
     }
 
     /// The answer was whole.
--- a/crates/gateway/src/pipeline/authenticate.rs
+++ b/crates/gateway/src/pipeline/authenticate.rs
@@ -60,7 +60,7 @@
     {
         return Err(refusal(
             Reason::NotInformed,
-            "no other gateway has been heard yet",
+            "no other gateway has answered yet",
         ));
     }
     let configuration = state.configuration.load();
--- a/crates/gateway/src/pipeline/choose_backend.rs
+++ b/crates/gateway/src/pipeline/choose_backend.rs
@@ -35,8 +35,8 @@
         *credits = vec![0.0; route.backends.len()];
         credits[0] = start;
     }
-    for (credits, backend) in credits.iter_mut().zip(&route.backends) {
-        *credits += f64::from(backend.weight) / total;
+    for (credit, backend) in credits.iter_mut().zip(&route.backends) {
+        *credit += f64::from(backend.weight) / total;
     }
     let furthest_behind = (0..credits.len())
         .filter(|index| route.backends[*index].weight > 0)
--- a/crates/gateway/src/pipeline/decode.rs
+++ b/crates/gateway/src/pipeline/decode.rs
@@ -74,7 +74,7 @@
         host,
         method: request.method().clone(),
         path: path.to_owned(),
-        headers: passed_on(state, &all),
+        headers: forwarded_headers(state, &all),
     })
 }
 
@@ -88,16 +88,16 @@
     headers
 }
 
-fn passed_on(state: &GatewayState, all: &HeaderMap) -> HeaderMap {
-    let named_by_connection = named_by_connection(all);
+fn forwarded_headers(state: &GatewayState, all: &HeaderMap) -> HeaderMap {
+    let listed_in_connection = listed_in_connection(all);
     let mut headers = HeaderMap::with_capacity(all.len());
     for (name, value) in all {
-        let is_passed = !is_hop_by_hop(name)
-            && !named_by_connection
+        let is_forwarded = !is_hop_by_hop(name)
+            && !listed_in_connection
                 .iter()
-                .any(|named| named == name.as_str())
+                .any(|listed| listed == name.as_str())
             && state.platform.passes_to_replica(name);
-        if is_passed {
+        if is_forwarded {
             headers.append(name.clone(), value.clone());
         }
     }
@@ -105,7 +105,7 @@
 }
 
 /// Further headers that the caller's `Connection` names.
-fn named_by_connection(all: &HeaderMap) -> Vec<String> {
+fn listed_in_connection(all: &HeaderMap) -> Vec<String> {
     let values = all.get_all(CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     texts
--- a/crates/gateway/src/pipeline/pace.rs
+++ b/crates/gateway/src/pipeline/pace.rs
@@ -14,7 +14,7 @@
 
 impl StreamTiming {
     /// Notes that events are passed on at `now`, of a request that arrived at `arrived_at`.
-    pub fn note_events(&mut self, arrived_at: Instant, now: Instant) {
+    pub fn record_events(&mut self, arrived_at: Instant, now: Instant) {
         if let Some(last) = self.last_at {
             let pause = now.saturating_duration_since(last);
             self.longest_pause = self.longest_pause.max(pause);
--- a/crates/gateway/src/pipeline/retry_after.rs
+++ b/crates/gateway/src/pipeline/retry_after.rs
@@ -25,11 +25,11 @@
     draw: u64,
 ) -> Duration {
     let latest = time_left.mul_f64(MAX_SHARE_OF_TIME_LEFT);
-    let begins = wait.saturating_sub(acceptable_wait).max(MIN_RETRY_AFTER);
+    let earliest = wait.saturating_sub(acceptable_wait).max(MIN_RETRY_AFTER);
     let spread = wait.mul_f64(SPREAD_SHARE);
-    let begins = begins.min(latest.saturating_sub(spread)).min(latest);
-    let ends = (begins + spread).min(latest);
-    begins + (ends - begins).mul_f64(random_fraction(draw))
+    let earliest = earliest.min(latest.saturating_sub(spread)).min(latest);
+    let end = (earliest + spread).min(latest);
+    earliest + (end - earliest).mul_f64(random_fraction(draw))
 }
 
 /// When a caller should come back where every replica asked for a pause, of which the shortest ends after `pause`. `draw` spreads
