--- a/crates/gateway/src/pipeline/account.rs
+++ b/crates/gateway/src/pipeline/account.rs
@@ -1,4 +1,4 @@
-//! Keeps the books of one request from its arrival to its end, however it ends.
+//! Tracks one request from its arrival to its end, however it ends: open requests, metrics and log lines.
 
 use driftspring_clock::Instant;
 use driftspring_telemetry::events::gateway;
@@ -13,7 +13,7 @@
 use crate::configuration::Route;
 use crate::state::GatewayState;
 
-/// The books of one request. Where it is dropped before it was settled, the caller has left.
+/// Tracks one request. If it is dropped unfinished, the caller has left.
 pub struct RequestTracker {
     state: Rc<GatewayState>,
     connection: Option<Id>,
@@ -25,7 +25,7 @@
 }
 
 impl RequestTracker {
-    /// Opens the books.
+    /// Starts tracking a request.
     pub fn open(state: &Rc<GatewayState>, connection: Option<&IoRef>, arrived_at: Instant) -> Self {
         state.status.open_requests.fetch_add(1, Ordering::AcqRel);
         if let Some(connection) = connection {
@@ -42,22 +42,22 @@
         }
     }
 
-    /// Takes in the request's id.
+    /// Sets the request's id.
     pub fn set_request_id(&mut self, id: &str) {
         self.id = id.to_owned();
     }
 
-    /// Takes in the request's route.
+    /// Sets the request's route.
     pub fn set_route(&mut self, route: &Route) {
         self.route = route.name.clone();
     }
 
-    /// The request's id; empty where there is none.
+    /// Request id; empty if there is none.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// The name of the request's route; empty where there is none.
+    /// Name of the request's route; empty if there is none.
     pub fn route(&self) -> &str {
         &self.route
     }
@@ -67,7 +67,7 @@
         self.arrived_at
     }
 
-    /// The head of a replica's answer has come.
+    /// Records that the head of a replica's answer has arrived.
     pub fn record_answer_head(&self) {
         self.state
             .status
@@ -76,12 +76,12 @@
             .observe(self.arrived_at.elapsed());
     }
 
-    /// Events of a stream are passed on.
+    /// Records that events of a stream were forwarded.
     pub fn record_events(&mut self) {
         self.timing.record_events(self.arrived_at, Instant::now());
     }
 
-    /// The answer was whole.
+    /// Records that the answer was complete.
     pub fn record_completion(&mut self, replica: &str, status: u16) {
         self.is_finished = true;
         let elapsed = self.arrived_at.elapsed();
@@ -97,13 +97,13 @@
         );
     }
 
-    /// The gateway itself answers, not a replica.
+    /// Records that the gateway answers the request itself.
     pub fn record_refusal(&mut self) {
         self.is_finished = true;
         self.state.status.metrics.refused.inc();
     }
 
-    /// The answer was cut midway.
+    /// Records that the answer was cut off.
     pub fn record_cut(&mut self, reason: &str) {
         self.is_finished = true;
         self.state.status.metrics.cut.inc();
@@ -117,7 +117,7 @@
         );
     }
 
-    /// The books, for the answer's stream to keep; what stays behind is settled.
+    /// Returns a tracker for the answer's stream to own; this one counts as finished.
     pub fn hand_over(&mut self) -> Self {
         self.state
             .status
@@ -160,7 +160,7 @@
     }
 }
 
-/// While a planned stop is on, each answer tells its caller to use another connection.
+/// During a planned stop, tells each caller to use another connection.
 pub fn close_while_stopping(state: &GatewayState, mut response: HttpResponse) -> HttpResponse {
     if state.status.is_stopping() {
         let head = response.head_mut();
--- a/crates/gateway/src/pipeline/authenticate.rs
+++ b/crates/gateway/src/pipeline/authenticate.rs
@@ -1,4 +1,4 @@
-//! Filter: finds the tenant that holds a request's key.
+//! Filter: finds the tenant that holds the request's key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,10 +8,11 @@
 use crate::configuration::{Route, Tenant};
 use crate::state::GatewayState;
 
-/// How much earlier than allowed a proof counts as too old, for the way of a request to its replica.
+/// Margin by which a proof counts as too old before the allowed age, for the time until the request reaches its
+/// replica.
 const PROOF_AGE_MARGIN: Duration = Duration::from_millis(300);
 
-/// The tenant; none where the route or the configuration asks for no key.
+/// Returns the tenant, or nothing if the route or the configuration requires no key.
 pub async fn authenticate(
     state: &GatewayState,
     route: &Route,
@@ -46,12 +47,12 @@
     }
 }
 
-/// The share of the route's objective for which a request waits for a proof at a daemon whose own is too old.
-/// Such a daemon has tried to renew it for seconds, so another one serves the caller sooner; a refusal within
-/// a quarter of the objective leaves the caller time for that.
+/// Share of the route's objective for which a request waits for a new proof at a gateway whose own has expired. Such a
+/// gateway has tried to renew its proof for seconds, so another gateway serves the caller sooner; a refusal within a
+/// quarter of the objective leaves the caller time for that.
 const LOST_PROOF_WAIT_SHARE: f64 = 0.2;
 
-/// A key may have been taken away since the configuration was last known to be current.
+/// Checks that the configuration is known to be current: a key may have been revoked since the last proof.
 async fn check_proof_age(state: &GatewayState, route: &Route) -> Result<(), Refusal> {
     if !state
         .currency
@@ -88,8 +89,8 @@
     }
 }
 
-/// How long a request waits for a proof of the configuration: a daemon that has had one lost it, a daemon
-/// that has had none yet has just started and reads the store for the first time.
+/// How long a request waits for a proof of the configuration. A gateway that has had a proof has lost it; one without
+/// any has just started and is reading the store for the first time.
 fn proof_timeout(had_proof: bool, objective: Duration) -> Duration {
     match had_proof && !objective.is_zero() {
         true => CONFIRMATION_TIMEOUT.min(objective.mul_f64(LOST_PROOF_WAIT_SHARE)),
--- a/crates/gateway/src/pipeline/check_quarantine.rs
+++ b/crates/gateway/src/pipeline/check_quarantine.rs
@@ -1,4 +1,4 @@
-//! Filter: stops requests that end the replicas that run them ([`crate::quarantine`]).
+//! Filter: stops requests that crash the replicas that run them ([`crate::quarantine`]).
 
 use super::context::RequestContext;
 use super::refusal::{Reason, Refusal, Step};
@@ -7,7 +7,8 @@
 use crate::quarantine::{Fingerprint, RecordSource, Verdict, is_first_home, isolated_trials};
 use crate::state::GatewayState;
 
-/// Checks before each send whether the request may go to a replica; `may_have_run` says whether it was at one in this try.
+/// Checks before each send whether the request may go to a replica. `may_have_run` says whether an earlier attempt of
+/// it may have run at one.
 pub fn check_quarantine(
     state: &GatewayState,
     context: &RequestContext,
@@ -16,7 +17,7 @@
     let fingerprint = || context.fingerprint();
     match state.quarantine.verdict(fingerprint) {
         Verdict::Clear => Ok(()),
-        // It may have ended the replica that it was at. A caller whose request had nothing to do with that comes again.
+        // It may have crashed the replica that it was sent to. If it was not the cause, its caller sends it again.
         Verdict::Suspicious if may_have_run => Err(refusal(
             context.fingerprint(),
             "suspected to have ended replicas",
@@ -39,7 +40,7 @@
     }
 }
 
-/// Takes in that the answer to a request came whole: its replica has survived it.
+/// Records that a request was answered completely, so its replica has survived it.
 pub fn note_survived(state: &GatewayState, context: &RequestContext) {
     if state.quarantine.may_clear() {
         state
@@ -48,12 +49,12 @@
     }
 }
 
-/// Whether this is the one daemon that tries the request in quarantine: all together would try it once each.
+/// Whether this is the one gateway that tries the quarantined request: otherwise each gateway would try it once.
 fn is_trial_gateway(state: &GatewayState, fingerprint: Fingerprint) -> bool {
     is_first_home(&state.peers.directory(), fingerprint, state.peers.own())
 }
 
-/// Whether it is this daemon's turn to try the request apart, which has been due since `from`.
+/// Whether it is this gateway's turn for the isolated trial of the request, which has been due since `from`.
 fn is_own_turn_to_isolate(state: &GatewayState, fingerprint: Fingerprint, from: Duration) -> bool {
     let turn =
         isolated_trials::trial_delay(&state.peers.directory(), fingerprint, state.peers.own());
--- a/crates/gateway/src/pipeline/check_quota.rs
+++ b/crates/gateway/src/pipeline/check_quota.rs
@@ -1,4 +1,4 @@
-//! Filter: whether a request is within its tenant's limit.
+//! Filter: checks whether a request is within its tenant's quota.
 
 use driftspring_clock::Instant;
 
@@ -9,7 +9,7 @@
 use crate::quota::{Charge, QuotaExceeded};
 use crate::state::GatewayState;
 
-/// Charges a request to its tenant. Returns what is to be given back where it does not run.
+/// Charges a request to its tenant. Returns the charge, to be refunded if the request does not run.
 pub fn check_quota(
     state: &GatewayState,
     decoded: &Decoded,
--- a/crates/gateway/src/pipeline/choose_backend.rs
+++ b/crates/gateway/src/pipeline/choose_backend.rs
@@ -4,8 +4,8 @@
 use crate::configuration::Route;
 use crate::state::GatewayState;
 
-/// The service of the next request. Each service's share follows its weight closely: the one that is
-/// furthest behind its share goes next.
+/// Returns the service of the next request by weighted round-robin: the service that is furthest behind its share goes
+/// next, so the division follows the weights closely.
 pub fn choose_backend(state: &GatewayState, route: &Route) -> Result<String, Refusal> {
     let total: f64 = route
         .backends
@@ -26,11 +26,12 @@
     Ok(route.backends[position].service.clone())
 }
 
+/// Index of the service with the highest credit, after all credits have grown by the services' weights.
 fn next_position(state: &GatewayState, route: &Route, total: f64) -> usize {
     let mut backend_credits = state.backend_credits.borrow_mut();
     let credits = backend_credits.entry(route.name.clone()).or_default();
     if credits.len() != route.backends.len() {
-        // Each daemon begins elsewhere, so that together they don't all begin with the same service.
+        // Each gateway starts with another credit, so that the gateways do not all begin with the same service.
         let start = (state.incarnation % 1000) as f64 / 1000.0;
         *credits = vec![0.0; route.backends.len()];
         credits[0] = start;
--- a/crates/gateway/src/pipeline/context.rs
+++ b/crates/gateway/src/pipeline/context.rs
@@ -1,4 +1,4 @@
-//! What is known of a request once it may be sent.
+//! Everything known about a request once it may be sent.
 
 use std::cell::OnceCell;
 use std::sync::Arc;
@@ -16,41 +16,41 @@
 use crate::quarantine::Fingerprint;
 use crate::replicas::{PlacementKey, Replica};
 
-/// How long a request is held where neither caller nor route say so.
+/// Time limit that stands in for the caller's or the route's, if that one is not set.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// What is known of a request once it may be sent.
+/// Everything known about a request once it may be sent.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// What its head says.
+    /// Control headers of the request.
     pub meta: RequestMeta,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query, as they came.
+    /// Path and query, unchanged.
     pub path: String,
-    /// The caller's headers that are passed on.
+    /// The caller's headers that are forwarded.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// The configuration under which it was taken.
+    /// Configuration under which the request was accepted.
     pub configuration: Arc<Configuration>,
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// Its tenant.
+    /// Tenant of the request, if its route requires a key.
     pub tenant: Option<Arc<Tenant>>,
-    /// The service that serves it.
+    /// Service that the request is sent to.
     pub service: String,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived_at: Instant,
-    /// When its caller or its route gives it up.
+    /// When the caller or the route gives up the request.
     pub deadline: Instant,
     fingerprint: OnceCell<Fingerprint>,
 }
 
 impl RequestContext {
-    /// Puts the context together.
+    /// Builds the context of a request.
     pub fn new(
         decoded: Decoded,
         configuration: Arc<Configuration>,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// What makes its tries the same request; hashed when it is first asked for, which few requests need.
+    /// Identifies the request across retries by the caller; hashed on first use, since few requests need it.
     pub fn fingerprint(&self) -> Fingerprint {
         let host = self.headers.get(HOST).and_then(|host| host.to_str().ok());
         let caller = self.tenant.as_ref().map_or("", |tenant| &tenant.name);
@@ -97,13 +97,13 @@
         })
     }
 
-    /// The time left.
+    /// Time left until the deadline.
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// What is left at `now` of the time in which its answer should begin; without an objective, all the time that
-    /// its caller waits.
+    /// Time left at `now` within which the answer should begin, according to the route's objective. Without an
+    /// objective, the time until the caller gives up waiting for the first event.
     pub fn objective_left(&self, now: Instant) -> Duration {
         let elapsed = now.saturating_duration_since(self.arrived_at);
         let objective = match self.route.objective {
@@ -113,25 +113,25 @@
         objective.saturating_sub(elapsed)
     }
 
-    /// How long its caller waits for it to begin, from its arrival.
+    /// How long the caller waits for the first event, from the request's arrival.
     pub fn first_event_timeout(&self) -> Duration {
         let hold = self.deadline.saturating_duration_since(self.arrived_at);
         let timeout = self.route.first_event_timeout;
         timeout.map_or(hold, |timeout| timeout.min(hold))
     }
 
-    /// How much longer its caller waits at `now` for it to begin.
+    /// How much longer the caller waits at `now` for the first event.
     pub fn first_event_time_left(&self, now: Instant) -> Duration {
         let elapsed = now.saturating_duration_since(self.arrived_at);
         self.first_event_timeout().saturating_sub(elapsed)
     }
 
-    /// The prompt, where there is one.
+    /// The prompt, if the request has one.
     pub fn prompt(&self) -> Option<&Prompt> {
         self.meta.prompt.as_ref()
     }
 
-    /// Whose cached prompt work may be shared: an isolated tenant's own, or everybody's else.
+    /// Partition of the prompt cache: an isolated tenant's own, or the one that all others share.
     pub fn cache_partition(&self) -> &str {
         match &self.tenant {
             Some(tenant) if tenant.is_isolated => &tenant.name,
@@ -139,25 +139,25 @@
         }
     }
 
-    /// Tokens of the whole prompt.
+    /// Number of tokens of the whole prompt.
     pub fn input_tokens(&self) -> u64 {
         self.prompt()
             .map_or(0, |prompt| u64::from(prompt.input_tokens))
     }
 
-    /// All parts of the prompt but the last, which nobody shares.
+    /// All parts of the prompt but the last, which is unique to the request.
     pub fn shared_parts(&self) -> &[PromptPart] {
         let parts = self.prompt().map_or(&[][..], |prompt| &prompt.parts);
         parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 
-    /// Tokens of these parts.
+    /// Number of tokens of the shared parts.
     pub fn shared_tokens(&self) -> u64 {
         let parts = self.shared_parts().iter();
         parts.map(|part| u64::from(part.tokens)).sum()
     }
 
-    /// What places the request: the parts of its prompt that others share.
+    /// Key for the placement of the request: identifies the shared parts of its prompt.
     pub fn placement_key(&self) -> Option<PlacementKey> {
         let prompt = self.prompt()?;
         let shared = self.shared_parts();
@@ -172,25 +172,25 @@
         Some(PlacementKey(xxh3_64(text.as_bytes())))
     }
 
-    /// The version of the weights of the prompt's model that `replica` is believed to have.
+    /// Version of the weights of the prompt's model that `replica` is believed to have.
     pub fn version_of(&self, replica: &Replica) -> Option<u64> {
         replica.version_of(&self.prompt()?.model)
     }
 
-    /// The name under which cached prompt work is kept and found: apart by tenant, where that is isolated, and
-    /// by the version of the weights that made it.
+    /// Scope in which cached prompt work is stored and looked up: separate by version of the weights, and by tenant if
+    /// the tenant is isolated.
     pub fn cache_scope(&self, weights_version: Option<u64>) -> Option<String> {
         self.prompt()?;
         let version = weights_version.unwrap_or(0);
         Some(format!("{version}/{}", self.cache_partition()))
     }
 
-    /// What a replica of the service can do, where that is known.
+    /// Limits of the service's replicas, if configured.
     pub fn engine(&self) -> Option<&EngineLimits> {
         self.configuration.service(&self.service)?.engine.as_ref()
     }
 
-    /// The rank among a replica's requests; 0 goes first.
+    /// Rank in a replica's queue; 0 goes first.
     pub fn priority(&self) -> u8 {
         let of_tenant = self.tenant.as_ref().and_then(|tenant| tenant.priority);
         of_tenant.unwrap_or(self.route.priority).min(9)
--- a/crates/gateway/src/pipeline/decode.rs
+++ b/crates/gateway/src/pipeline/decode.rs
@@ -14,7 +14,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const EXPECT: HeaderName = http::header::EXPECT;
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -28,29 +28,29 @@
     EXPECT,
 ];
 
-/// Whether a header concerns one connection only, or is set anew for each.
+/// Whether a header applies to a single connection, or is set anew for each.
 pub fn is_hop_by_hop(name: &HeaderName) -> bool {
     HOP_BY_HOP.contains(name)
 }
 
-/// A request whose head was read.
+/// Head of a request, decoded.
 #[derive(Debug)]
 pub struct Decoded {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// What its head says.
+    /// Control headers of the request.
     pub meta: RequestMeta,
-    /// The host that it names, without a port.
+    /// Host that the request names, without the port, in lower case.
     pub host: String,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query, as they came.
+    /// Path and query, unchanged.
     pub path: String,
-    /// The headers that are passed on.
+    /// Headers that are forwarded.
     pub headers: HeaderMap,
 }
 
-/// Reads the head; the caller's control headers and those of its connection are left out.
+/// Decodes the head. The caller's control headers and those of its connection are not forwarded.
 pub fn decode(state: &GatewayState, request: &HttpRequest) -> Result<Decoded, Refusal> {
     let all = convert(request);
     let malformed = |detail: String| Refusal::new(Step::Decode, Reason::MalformedHead, detail);
@@ -88,6 +88,7 @@
     headers
 }
 
+/// Headers that are forwarded to the replica.
 fn forwarded_headers(state: &GatewayState, all: &HeaderMap) -> HeaderMap {
     let listed_in_connection = listed_in_connection(all);
     let mut headers = HeaderMap::with_capacity(all.len());
@@ -104,7 +105,7 @@
     headers
 }
 
-/// Further headers that the caller's `Connection` names.
+/// Further hop-by-hop headers, which the caller's `Connection` header lists.
 fn listed_in_connection(all: &HeaderMap) -> Vec<String> {
     let values = all.get_all(CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
--- a/crates/gateway/src/pipeline/event_splitter.rs
+++ b/crates/gateway/src/pipeline/event_splitter.rs
@@ -1,14 +1,14 @@
-//! Splits a stream of bytes into whole events.
+//! Splits a stream of bytes into complete server-sent events.
 //!
-//! An event ends with an empty line. A replica may stop partway through an event, so bytes are passed on
-//! only once their event is whole.
+//! An event ends with an empty line. A replica may stop partway through an event, so bytes are forwarded only once
+//! their event is complete.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event, in bytes.
+/// Maximum size of an event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Gathers bytes and gives out whole events.
+/// Buffers bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -16,7 +16,7 @@
 }
 
 impl EventSplitter {
-    /// A splitter that goes on after the event `last_id`.
+    /// Creates a splitter for a stream that resumes after the event `last_id`.
     pub fn after(last_id: Option<String>) -> Self {
         Self {
             buffer: BytesMut::new(),
@@ -24,22 +24,22 @@
         }
     }
 
-    /// The id of the last whole event.
+    /// Id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whether part of an event is held.
+    /// Whether a partial event is buffered.
     pub fn is_inside_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Forgets the part of an event that is held.
+    /// Discards the buffered partial event.
     pub fn discard_partial_event(&mut self) {
         self.buffer.clear();
     }
 
-    /// Adds bytes and takes out every event that is whole by now; empty where none is.
+    /// Adds bytes and returns all events that are complete by now; empty if there is none.
     ///
     /// # Errors
     ///
@@ -61,7 +61,7 @@
     }
 }
 
-/// The end of the last whole event, looking at what lies behind `searched` only.
+/// End of the last complete event, found in the bytes after `searched` only.
 fn last_event_end(buffer: &[u8], searched: usize) -> Option<usize> {
     let tail = &buffer[searched..];
     let after_line_feeds = find_last(tail, b"\n\n").map(|at| at + 2);
@@ -76,7 +76,7 @@
         .rposition(|window| window == pattern)
 }
 
-/// The id of the last event that has one.
+/// Id of the last event that has one.
 fn last_event_id(events: &[u8]) -> Option<String> {
     let lines = events.rsplit(|byte| *byte == b'\n');
     let id = lines
--- a/crates/gateway/src/pipeline/find_route.rs
+++ b/crates/gateway/src/pipeline/find_route.rs
@@ -8,16 +8,16 @@
 use crate::configuration::{Configuration, Route};
 use crate::state::GatewayState;
 
-/// The share of the time in which a configuration must be in force that the proof may be old on which a
-/// request is turned away for good. A proof within that whole time would do: what was acknowledged before it
-/// is known. Those that followers get are up to 1.4 s old (a read each 0.9 s, a question each 0.5 s), so that
-/// with a share of 0.4 (0.8 s) most refusals cost a call to the store.
+/// Maximum age of a proof for a final denial of a request (unknown key or route), as a share of the time in which a
+/// configuration must be in force. A proof of any age within that time would be correct, since it covers every
+/// acknowledged change. Proofs that followers receive are up to 1.4 s old (a read every 0.9 s, a query every 0.5 s), so
+/// with a share of 0.4 (0.8 s) most denials cost a call to the store.
 const DENIAL_PROOF_AGE_SHARE: f64 = 0.75;
 
 /// How long a request waits for such a proof.
 pub const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How fresh the proof has to be on which a request is turned away for good.
+/// Maximum age of the proof that a final denial is based on.
 pub fn denial_max_proof_age(state: &GatewayState) -> Duration {
     state
         .times
@@ -26,8 +26,8 @@
         .mul_f64(DENIAL_PROOF_AGE_SHARE)
 }
 
-/// The configuration in force and the request's route. A missing route is believed only where the
-/// configuration has just been read, since the route may be new.
+/// Returns the configuration in force and the request's route. A missing route is a final denial only with a recent
+/// proof of the configuration, since the route may be new.
 pub async fn find_route(
     state: &GatewayState,
     decoded: &Decoded,
--- a/crates/gateway/src/pipeline/mod.rs
+++ b/crates/gateway/src/pipeline/mod.rs
@@ -1,8 +1,8 @@
 //! The path of a request: a fixed list of filters over one context per request.
 //!
-//! [`serve`] is the list, read from top to bottom; each filter has its own file. A filter that can't go
-//! on returns a [`Refusal`], which says whether the request may have run. What must be undone at the end
-//! of a request is held by its [`RequestTracker`] and by guards in its answer.
+//! [`serve`] is the list, in order; each filter has its own file. A filter that rejects a request returns a
+//! [`Refusal`], which says whether the request may have run. Cleanup at the end of a request is done by its
+//! [`RequestTracker`] and by guards in its answer.
 
 mod account;
 mod admission;
@@ -61,7 +61,7 @@
     account::close_while_stopping(&state, response)
 }
 
-/// The filters, in order.
+/// Runs the filters, in order.
 async fn serve(
     state: &Rc<GatewayState>,
     request: &HttpRequest,
@@ -85,10 +85,10 @@
     result
 }
 
-/// What is known of a request that is within its tenant's limit.
+/// Parts of a request that is within its tenant's quota.
 type AdmittedRequest = (Decoded, Arc<Configuration>, Arc<Route>, Option<Arc<Tenant>>);
 
-/// The filters after the check of the tenant's limit.
+/// Runs the filters after the check of the tenant's quota.
 async fn serve_admitted(
     state: &Rc<GatewayState>,
     request: &HttpRequest,
--- a/crates/gateway/src/pipeline/pace.rs
+++ b/crates/gateway/src/pipeline/pace.rs
@@ -1,10 +1,10 @@
-//! How a stream's events came: what makes an answer late, for the log line at its end.
+//! Timing of a stream's events, logged at its end: shows what made an answer late.
 
 use std::time::Duration;
 
 use driftspring_clock::Instant;
 
-/// When the events of one stream were passed on.
+/// Times at which the events of one stream were forwarded.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StreamTiming {
     first_event_after: Option<Duration>,
@@ -13,7 +13,7 @@
 }
 
 impl StreamTiming {
-    /// Notes that events are passed on at `now`, of a request that arrived at `arrived_at`.
+    /// Records that events were forwarded at `now`; the request arrived at `arrived_at`.
     pub fn record_events(&mut self, arrived_at: Instant, now: Instant) {
         if let Some(last) = self.last_at {
             let pause = now.saturating_duration_since(last);
@@ -24,12 +24,12 @@
         self.last_at = Some(now);
     }
 
-    /// The time from the request's arrival to its first event; none before it.
+    /// Time from the request's arrival to its first event, if there was one.
     pub fn first_event_after(&self) -> Option<Duration> {
         self.first_event_after
     }
 
-    /// The longest time between two events that were passed on.
+    /// Longest time between two forwarded events.
     pub fn longest_pause(&self) -> Duration {
         self.longest_pause
     }
--- a/crates/gateway/src/pipeline/read_body.rs
+++ b/crates/gateway/src/pipeline/read_body.rs
@@ -1,4 +1,4 @@
-//! Filter: reads the whole body, which may have to be sent more than once.
+//! Filter: reads the whole body, since it may have to be sent more than once.
 
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -7,7 +7,7 @@
 use super::refusal::{Reason, Refusal, Step};
 use crate::configuration::CallerLimits;
 
-/// The body, where it keeps within the limits.
+/// Returns the body if it is within the limits.
 pub async fn read_body(mut payload: Payload, limits: &CallerLimits) -> Result<Bytes, Refusal> {
     let mut body = BytesMut::new();
     while let Some(piece) = payload.next().await {
--- a/crates/gateway/src/pipeline/retry_after.rs
+++ b/crates/gateway/src/pipeline/retry_after.rs
@@ -1,23 +1,23 @@
-//! When a caller should come back that was refused since lines are too long.
+//! When a refused caller should retry, if queues are too long or all replicas are paused.
 
 use std::time::Duration;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The earliest return: sooner, the same line is met again.
+/// Minimum delay: an earlier retry meets the same queue.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// The window over which those refused at one time are spread, as a share of the wait that was expected: over it
-/// the line is worked off.
+/// Window over which simultaneously refused callers are spread, as a share of the expected wait: the queue is worked
+/// off during that time.
 const SPREAD_SHARE: f64 = 0.5;
 
-/// The share of the time that callers have left up to which they obey (operator's page of the protocol).
+/// Share of their remaining time up to which callers obey the delay (operator's page of the protocol).
 const MAX_SHARE_OF_TIME_LEFT: f64 = 1.0 / 3.0;
 
-/// When a caller should come back with `acceptable_wait` for its next request, where a wait of `wait` is expected now
-/// and it has `time_left` in all. A line that nobody joins gets shorter by as much time as goes by, so that is
-/// when `acceptable_wait` will do. `draw` spreads returns, so that they don't come as one wave; what is beyond the time
-/// that callers obey is drawn from the whole of it.
+/// Delay after which a refused caller should retry. `wait` is the expected wait now, `acceptable_wait` the one that its
+/// next request accepts, and `time_left` the time it has in all. A queue that nobody joins gets shorter by the time
+/// that passes, so `wait - acceptable_wait` is the earliest useful delay. `draw` spreads the retries, so that they do
+/// not arrive in one wave; if the delay would exceed what callers obey, it is drawn from that whole range.
 pub fn retry_after(
     wait: Duration,
     acceptable_wait: Duration,
@@ -32,14 +32,15 @@
     earliest + (end - earliest).mul_f64(random_fraction(draw))
 }
 
-/// When a caller should come back where every replica asked for a pause, of which the shortest ends after `pause`. `draw` spreads
-/// the returns over half of that time again, so that those refused together don't come back together.
+/// Delay after which a caller should retry if every replica has asked for a pause, the shortest of which ends after
+/// `pause`. `draw` spreads the retries over another half of that time, so that callers that were refused together do
+/// not return together.
 pub fn retry_after_pause(pause: Duration, draw: u64) -> Duration {
     let pause = pause.max(MIN_RETRY_AFTER);
     pause + pause.mul_f64(SPREAD_SHARE * random_fraction(draw))
 }
 
-/// A share from 0 to 1 that looks random over successive draws.
+/// Pseudo-random fraction from 0 to 1, derived from `draw`.
 fn random_fraction(draw: u64) -> f64 {
     let hash = xxh3_64(&draw.to_le_bytes());
     hash as f64 / u64::MAX as f64
