--- a/crates/gateway/src/own_daemon.rs
+++ b/crates/gateway/src/own_daemon.rs
@@ -1,4 +1,4 @@
-//! What a daemon is called, and the others that it asks first, from its settings.
+//! A daemon's identity, and the seeds that it queries first, from its settings.
 
 use std::net::SocketAddr;
 
@@ -7,13 +7,13 @@
 
 use crate::peers::message::WireDaemon;
 
-/// What holds a lease: a machine, whichever process runs on it. One that takes the place of another at a new
-/// address is another machine, even under the same name.
+/// The identity under which a lease is held: a machine, regardless of the process that runs on it. A replacement at a
+/// new address is another machine, even under the same name.
 pub fn machine(settings: &GatewaySettings) -> String {
     format!("{}@{}", settings.name, settings.listen.peers.ip())
 }
 
-/// This daemon as others know it.
+/// This daemon's entry for other daemons.
 pub fn own_daemon(settings: &GatewaySettings) -> WireDaemon {
     WireDaemon {
         name: settings.name.clone(),
@@ -23,14 +23,14 @@
     }
 }
 
-/// What the gateway's machine can carry, see [`WireDaemon::capacity`].
+/// The capacity of the gateway's machine, see [`WireDaemon::capacity`].
 fn capacity(settings: &GatewaySettings) -> u32 {
     let machine = settings.machine;
     (machine.cores * 1000.0).min(machine.link_megabits) as u32
 }
 
-/// The machines named as seeds, at the port at which every daemon listens for others. Each daemon begins with
-/// another one: hundreds that start together would all ask the first.
+/// The machines configured as seeds, at the port at which every daemon receives datagrams. Each daemon starts with a
+/// different one: hundreds that start together would otherwise all query the first.
 pub fn seeds(settings: &GatewaySettings) -> Vec<WireDaemon> {
     let own = settings.listen.peers;
     let others = settings.seeds.iter().filter(|seed| seed.ip() != own.ip());
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of other daemons, and takes in what they tell of replicas.
+//! Receives datagrams: replies to queries of other daemons, and applies what they report.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,20 +29,19 @@
 use crate::store::{Rejected, adopt_peer_era};
 use crate::weights::Since;
 
-/// The pause after a datagram could not be received.
 const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Where answers to own questions go.
+/// Queues for the replies to own queries.
 pub(super) struct ReplyQueues {
-    /// What is in force and has changed.
+    /// Replies from the source.
     pub(super) sync_replies: UnboundedSender<SyncReply>,
-    /// What stores of cached prompt work keep.
+    /// Pages of the contents of prompt-cache stores.
     pub(super) cached_replies: UnboundedSender<CachedReply>,
-    /// Configurations that others hold.
+    /// Versions and pieces of configurations that others hold.
     pub(super) configuration_replies: Sender<ConfigurationReply>,
 }
 
-/// Reads datagrams for ever.
+/// Receives datagrams in an endless loop.
 pub(super) async fn listen(
     state: Rc<GatewayState>,
     socket: Rc<tokio::net::UdpSocket>,
@@ -72,7 +71,7 @@
                 notices::remind(&state, &socket, from).await;
             }
             Some(Message::SyncReply(answer)) => {
-                // The task that asked may have given up meanwhile.
+                // Sending fails only if the querying task has ended.
                 let _ = queues.sync_replies.send(*answer);
             }
             Some(Message::ChangesAvailable) => state.peers.ask_now.notify_one(),
@@ -110,7 +109,7 @@
                 }
             }
             Some(Message::CachedReply(page)) => {
-                // The same holds for the task that asked for the page.
+                // Sending fails only if the querying task has ended.
                 let _ = queues.cached_replies.send(page);
             }
             Some(Message::ConfigurationQuery(query)) => {
@@ -118,9 +117,9 @@
             }
             Some(Message::ConfigurationReply(told)) => {
                 state.peers.note_configuration(told.version, from);
-                // Nobody waits for it, or more come than were asked for.
+                // The queue is full: nobody is waiting, or more pieces arrive than were requested.
                 if queues.configuration_replies.try_send(told).is_err() {
-                    log::debug!("a piece of a configuration from {from} is dropped");
+                    log::debug!("configuration piece from {from} dropped: the reply queue is full");
                 }
             }
             Some(Message::Usage(usage)) => state.quotas.record_member_usage(&usage, Instant::now()),
@@ -166,12 +165,12 @@
     }
 }
 
-/// The answer to a question.
+/// The reply to a query.
 fn reply_to(state: &GatewayState, query: &SyncQuery) -> SyncReply {
     let log = state.peers.log.borrow();
     let (page, packed) = page(state, &log, query);
     let proof = state.currency.proof();
-    // Rounded up: a proof, or newly named weights, may look older than they are, never newer.
+    // Rounded up: a proof, or newly named weights, may appear older than they are, never newer.
     let to_ms_up = |time: Duration| to_ms(time) + 1;
     let to_wire = |weights: ModelVersion, since: Since| WireWeights {
         model: weights.model,
@@ -182,7 +181,7 @@
     let weights = state.weights.borrow().all();
     let suspected = state.suspected_weights.borrow();
     let era = state.store_eras.known();
-    // Of an era that another daemon told, no position is known yet.
+    // In an era learned from another daemon no position is known yet.
     let position = Some(state.store_position.get()).filter(|known| known.era == era);
     SyncReply {
         nonce: query.nonce,
@@ -234,7 +233,7 @@
     }
 }
 
-/// The changes that the asking daemon lacks; packed where it understands that.
+/// The changes that the querying daemon lacks, packed if it accepts that.
 fn page(
     state: &GatewayState,
     log: &ChangeLog,
@@ -249,7 +248,7 @@
     }
 }
 
-/// Whether one more change fits into a datagram, asked for each in turn.
+/// A predicate that says whether one more change fits into a datagram; called for each change in turn.
 fn fits() -> impl FnMut(&Change) -> bool {
     let mut left = PAGE_BYTES;
     move |change| {
@@ -260,7 +259,7 @@
     }
 }
 
-/// Takes in which prompts other daemons sent to replicas. A daemon knows those that it sent itself.
+/// Records prompts that other daemons dispatched to replicas. Reports of this daemon's own prompts are ignored.
 pub(super) fn apply_prompts(state: &GatewayState, prompts: &[WirePrompt]) {
     let now = Instant::now();
     let own = short_digest(&state.peers.own().name);
@@ -274,8 +273,8 @@
     }
 }
 
-/// Takes in how a replica's loading of weights goes. Suspected weights that a replica has loaded were named: who gave the order tells
-/// it to those that ask it, which the one that reads the store does not.
+/// Records the state of a replica's weight load. Suspected weights that a replica has loaded were named: the daemon
+/// that ordered the load tells this to the daemons that query it, but the reader of the store doesn't know.
 pub(super) fn apply_load_status(state: &GatewayState, status: &LoadStatus) {
     if status.is_done {
         name_if_suspected(state, &status.weights());
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -1,4 +1,4 @@
-//! Asks the source again and again what is in force and what has changed.
+//! Queries the source periodically for the state in force and for changes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,30 +21,33 @@
 use crate::suspected_weights::Suspicion;
 use crate::weights::Since;
 
-/// Time between two questions.
+/// The time between two queries.
 const ASK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The same for the leader of a group, whose members learn from it: what they know is older by this time. With a view that its reader
-/// proves each 0.9 s, or 1.4 s while the store is slow, they are told one that is recent enough (1.7 s).
+/// The same for the leader of a group: its members learn from it, so their views are older by up to this time. With a
+/// reader that proves its view every 0.9 s, or every 1.4 s while the store is slow, the members' views stay recent
+/// enough (1.7 s).
 const LEADER_ASK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The same for a daemon that has just started and knows nothing yet: the others, which may have started with it, need some
-/// 100 ms to list the replicas, and nothing is served before. At 100 members of a group 1,000 questions of 60 bytes a second.
+/// The same for a daemon that has just started and has no view yet: the others, which may have started with it, need
+/// about 100 ms to list the replicas, and nothing is served before. A group of 100 members sends 1,000 queries of 60
+/// bytes a second.
 const STARTING_ASK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long an answer is waited for.
+/// How long to wait for a reply.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The age of the proof of the configuration from which on a daemon asks for one that finds nobody to tell it. A newer
-/// version must be in force 2 s after its acknowledgement on small sites and 3 s or more on those with several groups.
+/// The age of the proof of the configuration from which a daemon without a usable source requests a proof itself. A
+/// newer version must be in force 2 s after its acknowledgement on small sites, and after 3 s or more on sites with
+/// several groups.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(2000);
 
-/// The shortest time between two questions.
+/// The minimum time between two queries.
 const MIN_ASK_INTERVAL: Duration = Duration::from_millis(25);
 
 type Answers = tokio::sync::mpsc::UnboundedReceiver<SyncReply>;
 
-/// Asks the source again and again.
+/// Queries the source in an endless loop.
 pub(super) async fn ask(
     state: Rc<GatewayState>,
     socket: Rc<tokio::net::UdpSocket>,
@@ -73,7 +76,7 @@
         let leader = chooser.leader(&group);
         state.peers.set_leader(leader);
         let leader = leader.map(|leader| name_digest(&leader.name));
-        // No daemon's name has the digest 0: nobody leads.
+        // No daemon's name has the digest 0, so 0 means that there is no leader.
         state.quotas.set_leader(leader.unwrap_or(0));
         let is_relay = state.peers.is_leader.get() && !others.is_empty();
         state.peers.prompt_relay.set_relay(is_relay);
@@ -110,8 +113,8 @@
     }
 }
 
-/// The time until the next question, until the view is too old, or until a replica goes out of use whose entry has not
-/// come back.
+/// The time until the next query, until the view is too old, or until a replica whose entry has not come back goes out
+/// of use, whichever is first.
 fn pause_until_work(state: &GatewayState, max_view_age: Duration) -> Duration {
     let next_lapse = state.registry.next_lapse();
     let until_lapse = next_lapse.map(|at| at.saturating_duration_since(Instant::now()));
@@ -136,9 +139,8 @@
     }
 }
 
-/// Takes in where this daemon learns what is in force. It reads the store until another daemon has answered with
-/// something recent: where many start together the first in rank may know nothing yet, and others rely on those
-/// that do.
+/// Records the source of this daemon's state. The daemon reads the store until another daemon has replied with a recent
+/// view: when many start together, the first in rank may have no view yet, and others rely on daemons that have one.
 fn set_source(state: &GatewayState, source: &Source) {
     let is_reader = *source == Source::Store;
     if state.peers.is_reader.replace(is_reader) != is_reader {
@@ -154,7 +156,7 @@
     }
 }
 
-/// Asks one daemon; true where it has more to tell.
+/// Queries one daemon; true if it has more changes to send.
 async fn ask_daemon(
     state: &Rc<GatewayState>,
     socket: &tokio::net::UdpSocket,
@@ -209,7 +211,10 @@
     }
     let own_log = peers.log.borrow().id();
     if answer.view_reader_log == Some(own_log) {
-        log::debug!("{} learns from this daemon", daemon.name);
+        log::debug!(
+            "{} relays the view of this daemon; querying another one",
+            daemon.name
+        );
         chooser.on_own_view(state.now());
         peers.ask_now.notify_one();
         return false;
@@ -219,7 +224,10 @@
         .borrow()
         .has_older_view(&answer, peers.view_age())
     {
-        log::debug!("{} is behind: its view is {view_age:?} old", daemon.name);
+        log::debug!(
+            "the view of {} is {view_age:?} old, older than the own one; querying another daemon",
+            daemon.name
+        );
         chooser.on_older_view(state.now());
         peers.ask_now.notify_one();
         return false;
@@ -237,7 +245,7 @@
     }
 }
 
-/// Takes in an answer; true where more is to come.
+/// Applies a reply; true if more changes follow.
 async fn apply_reply(state: &Rc<GatewayState>, answer: SyncReply, sent_at: Instant) -> bool {
     let proof = proof_in(&answer, sent_at);
     if let Some((began, position)) =
@@ -278,7 +286,7 @@
     answer.has_more
 }
 
-/// The read that proved the configuration in an answer.
+/// The read that proved the configuration in a reply.
 fn proof_in(answer: &SyncReply, sent_at: Instant) -> Option<Proof> {
     let started_at = moment_before(sent_at, answer.proof_age_ms)?;
     let position = answer.proof_revision.map(|revision| StorePosition {
@@ -291,7 +299,7 @@
     })
 }
 
-/// How far the store has come, as an answer tells.
+/// The store's position according to a reply.
 fn position_in(answer: &SyncReply) -> StorePosition {
     StorePosition {
         era: StoreEra::from_number(answer.store_era),
@@ -303,13 +311,13 @@
     sent_at.checked_sub(Duration::from_millis(age_ms?))
 }
 
-/// The weights that an answer tells, and since when they count.
+/// The weights in a reply, and since when they are wanted.
 fn weights_in(told: &WireWeights, sent_at: Instant) -> (ModelVersion, Since) {
     let weights = ModelVersion {
         model: told.model.clone(),
         version: told.version,
     };
-    // Their age grew on the way of the answer; that of the question counts as well, which is the safe side.
+    // The age kept growing while the reply was in transit; the transit time of the query is added too, to be safe.
     let since = moment_before(sent_at, Some(told.age_ms)).unwrap_or(sent_at);
     let since = match told.is_assumed {
         true => Since::Assumed(since),
--- a/crates/gateway/src/peers/bit_rows.rs
+++ b/crates/gateway/src/peers/bit_rows.rs
@@ -1,31 +1,31 @@
-//! Rows of bytes of one length, of which only the bits are kept that differ between them.
+//! Packs rows of bytes of the same length: bits that are equal in all rows are stored once.
 //!
-//! What a page tells of replicas differs little from one to the next: addresses share their network and their port, births
-//! their high digits, ids their beginning and the few bits by which hexadecimal digits differ.
+//! The rows of replicas in a page differ little: addresses share their network and port, birth times their high digits,
+//! ids their prefix and the bits that are common to all hexadecimal digits.
 
 use musli::{Decode, Encode};
 
-/// The most rows of one set. What is read from a datagram takes bounded room by it: 255 rows as long as itself.
+/// The maximum number of rows. It limits the memory for rows decoded from a datagram to 255 times its size.
 pub const MAX_ROWS: usize = u8::MAX as usize;
 
-/// Rows of one length.
+/// Packed rows of one length.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct BitRows {
-    /// The bits that all rows have in common; those that differ are 0.
+    /// The common bits of all rows; differing bits are 0.
     #[musli(bytes)]
     common: Vec<u8>,
-    /// Which bits differ.
+    /// A mask of the differing bits.
     #[musli(bytes)]
     differing: Vec<u8>,
-    /// How many rows there are.
+    /// The number of rows.
     count: u8,
-    /// The bits that differ, row after row, the high one of a byte first.
+    /// The differing bits, row by row, the most significant bit of a byte first.
     #[musli(bytes)]
     bits: Vec<u8>,
 }
 
 impl BitRows {
-    /// Packs `rows`, all of which are as long as the first; those beyond [`MAX_ROWS`] are left out.
+    /// Packs `rows`, all of which have the length of the first; those beyond [`MAX_ROWS`] are left out.
     pub fn pack(rows: &[Vec<u8>]) -> Self {
         let rows = &rows[..rows.len().min(MAX_ROWS)];
         let Some(first) = rows.first() else {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The rows; those whose bits are missing are left out.
+    /// The rows; rows with missing bits are left out.
     pub fn rows(&self) -> impl Iterator<Item = Vec<u8>> {
         let mut bits = BitReader::new(&self.bits);
         (0..self.count).map_while(move |_| self.next_row(&mut bits))
@@ -79,7 +79,7 @@
     }
 }
 
-/// How many bytes `count` rows take that differ in these bits, beside the encoding of the lengths.
+/// The size in bytes of `count` rows that differ in these bits, without the encoding of the lengths.
 pub fn packed_bytes(differing: &[u8], count: usize) -> usize {
     let bits: usize = differing
         .iter()
@@ -88,7 +88,7 @@
     2 * differing.len() + (bits * count).div_ceil(8)
 }
 
-/// The bits of `mask`, the high one first.
+/// The set bits of `mask`, the most significant one first.
 fn set_bits(mask: u8) -> impl Iterator<Item = u8> {
     (0..8)
         .rev()
--- a/crates/gateway/src/peers/cached.rs
+++ b/crates/gateway/src/peers/cached.rs
@@ -1,8 +1,8 @@
-//! Tells the daemons of a group what stores of cached prompt work keep.
+//! Replicates the contents of prompt-cache stores to the daemons of a group.
 //!
-//! The leader of the group follows the events of the stores, gathers them and sends them to the members in
-//! datagrams. A member that has just started, or has missed that a store began a new life, asks for all that is
-//! kept, page by page. A datagram that is lost costs a part that is copied or read again, nothing else.
+//! The leader of the group follows the events of the stores and sends them to the members in batches. A member that has
+//! just started, or missed that a store was restarted, fetches the whole contents page by page. The only cost of a lost
+//! datagram is that a part of a prompt is copied or prefilled again.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,27 +16,27 @@
 use crate::cache::{CachedNews, KeptChange, stores};
 use crate::state::GatewayState;
 
-/// Changes of one datagram, which so stays below 1,200 bytes: a change takes up to 17 of them.
+/// The number of changes in a datagram, which keeps it below 1,200 bytes: a change takes up to 17 of them.
 pub const MAX_CHANGES: usize = 56;
 
-/// What the fields of one store's news take beside its changes, counted in changes.
+/// The size of the other fields of one store's entry in a datagram, counted in changes.
 const HEADER_CHANGES: usize = 5;
 
-/// How long changes gather before they are told. Copying a prompt to a store takes some hundred milliseconds, so
-/// few requests could use the news sooner.
+/// How long changes are batched. Copying a prompt to a store takes several hundred milliseconds, so few requests could
+/// use the information sooner.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// How long a page is waited for.
+/// How long to wait for a page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The pause between two looks for stores of which nothing is known.
+/// The initial pause between two checks for stores with unknown contents.
 const INITIAL_PAUSE: Duration = Duration::from_millis(250);
 
-/// The longest such pause: a store that does not answer stays unknown until the leader hears of it again, and then
-/// the leader tells all that it keeps.
+/// The maximum such pause: a store that doesn't answer stays unknown until the leader reaches it again, and the leader
+/// then sends its whole contents.
 const MAX_PAUSE: Duration = Duration::from_secs(8);
 
-/// Tells the group what this daemon learns of the stores, for ever.
+/// Sends to the group what this daemon learns of the stores, in an endless loop.
 pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
         state.peers.cached_news_added.notified().await;
@@ -48,7 +48,7 @@
     }
 }
 
-/// Shares out news among datagrams, in their order.
+/// Distributes changes among datagrams, in order.
 pub fn pack(gathered: Vec<CachedNews>) -> Vec<Vec<WireCached>> {
     let mut datagrams: Vec<Vec<WireCached>> = Vec::new();
     let mut remaining = 0;
@@ -75,14 +75,14 @@
     datagrams
 }
 
-/// Takes in what the leader tells.
+/// Applies changes from the leader.
 pub(super) fn apply(state: &GatewayState, told: &[WireCached]) {
     for news in told.iter().filter_map(WireCached::to_news) {
         state.cached.take(&news);
     }
 }
 
-/// The page that is asked for.
+/// The requested page, or `None` if the store's address is invalid.
 pub(super) fn answer(state: &GatewayState, query: &CachedQuery) -> Option<CachedReply> {
     let store: SocketAddr = query.store.parse().ok()?;
     let page = state.cached.with(store, |kept| CachedReply {
@@ -95,7 +95,7 @@
     Some(page)
 }
 
-/// Asks the source of this daemon for what stores keep of which nothing is known here, for ever.
+/// Fetches the contents of unknown stores from this daemon's source, in an endless loop.
 pub(super) async fn catch_up(
     state: Rc<GatewayState>,
     socket: Rc<tokio::net::UdpSocket>,
@@ -120,7 +120,8 @@
     }
 }
 
-/// Fetches all that `store` keeps, page by page; ends where a page does not come or the source knows nothing.
+/// Fetches the contents of `store` page by page; stops when a page doesn't arrive or the source doesn't know the
+/// contents.
 async fn fetch(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
@@ -141,7 +142,9 @@
         send(socket, &Message::CachedQuery(query), &source).await;
         let page = tokio::time::timeout(PAGE_TIMEOUT, matching_reply(pages, nonce)).await;
         let Ok(Some(page)) = page else {
-            log::debug!("no page of what {store} keeps came from {source}");
+            log::debug!(
+                "no page of the contents of {store} arrived from {source} within {PAGE_TIMEOUT:?}"
+            );
             return;
         };
         if !page.is_known {
@@ -177,7 +180,7 @@
 }
 
 impl From<&CachedNews> for WireCached {
-    /// The news without their changes.
+    /// The fields without the changes.
     fn from(news: &CachedNews) -> Self {
         Self {
             store: news.store.to_string(),
@@ -191,7 +194,7 @@
 }
 
 impl WireCached {
-    /// The news; nothing where the address can't be read.
+    /// The changes, or `None` if the address is invalid.
     pub fn to_news(&self) -> Option<CachedNews> {
         Some(CachedNews {
             store: self.store.parse().ok()?,
--- a/crates/gateway/src/peers/change_log.rs
+++ b/crates/gateway/src/peers/change_log.rs
@@ -1,17 +1,17 @@
 //! Replicas and daemons in the order in which they changed.
 //!
-//! Each item stands once, at its last change, so the log is never longer than what it describes and the
-//! tombstones of what is gone, of which only the newest are kept. A daemon that has the changes
-//! up to some number gets those after it; one that has another log, or has missed tombstones, gets everything.
+//! Each item occurs once, at its last change, so the log has one entry for each item and for each tombstone of a
+//! removed item, of which only the newest are kept. A daemon that has the changes up to some number gets the later
+//! ones; a daemon that followed another log, or missed discarded tombstones, gets everything.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::message::{Change, Item, ItemKey, SyncQuery};
 
-/// Tombstones that are kept.
+/// The number of tombstones that are kept.
 const MAX_TOMBSTONES: usize = 256;
 
-/// The changes of one life of a daemon.
+/// The change log of one incarnation of a daemon.
 #[derive(Debug)]
 pub struct ChangeLog {
     id: u64,
@@ -24,18 +24,18 @@
     daemon_changes: u64,
 }
 
-/// A part of a log.
+/// A page of a log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogPage {
-    /// The changes.
+    /// The changes, in order.
     pub changes: Vec<Change>,
-    /// The last change that they go up to.
+    /// The number of the last change up to which the page is complete.
     pub sequence: u64,
-    /// Whether they begin at the beginning.
+    /// Whether the page starts at the beginning of the log.
     pub is_from_start: bool,
-    /// Whether more follow.
+    /// Whether more changes follow.
     pub has_more: bool,
-    /// Whether the asking daemon has every item already, whatever log it followed.
+    /// Whether the querying daemon already has every item, regardless of the log that it followed.
     pub has_same_items: bool,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// How often a daemon has come, changed or gone.
+    /// The number of times that a daemon was added, changed or removed.
     pub fn daemon_changes(&self) -> u64 {
         self.daemon_changes
     }
@@ -69,7 +69,7 @@
         self.sequence
     }
 
-    /// A digest of all items, whatever order they came in: two logs with the same one have the same items.
+    /// A digest of all items, independent of their order: two logs with the same digest have the same items.
     pub fn content_digest(&self) -> u64 {
         self.content_digest
     }
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Every item.
+    /// All items.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.changes.values().filter_map(|change| match change {
             Change::Put(item) => Some(item),
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Takes in an item; true where it is new or has changed.
+    /// Adds or updates an item; true if it is new or has changed.
     pub fn put(&mut self, item: Item) -> bool {
         let key = item.key();
         let known = self.get(&key);
@@ -106,7 +106,7 @@
         true
     }
 
-    /// Takes in that an item is gone; true where it was there.
+    /// Removes an item; true if it was present.
     pub fn remove(&mut self, key: &ItemKey) -> bool {
         let Some(known) = self.get(key) else {
             return false;
@@ -120,8 +120,8 @@
         true
     }
 
-    /// The last change that the asking daemon has, 0 where it has none or not all before it; nothing where it has every item,
-    /// whatever log it followed.
+    /// The number of the last change that the querying daemon has, or 0 if it lacks earlier ones; `None` if it has
+    /// every item, regardless of the log that it followed.
     pub fn sequence_known_to(&self, query: &SyncQuery) -> Option<u64> {
         if query.content_digest != 0 && query.content_digest == self.content_digest {
             return None;
@@ -132,7 +132,7 @@
         Some(if knows_enough { query.sequence } else { 0 })
     }
 
-    /// The changes of this log that the asking daemon lacks, as many as `fits` allows, see [`Self::page_after`].
+    /// The changes that the querying daemon lacks, as many as `fits` allows, see [`Self::page_after`].
     pub fn page(&self, query: &SyncQuery, fits: impl FnMut(&Change) -> bool) -> LogPage {
         match self.sequence_known_to(query) {
             Some(after) => self.page_after(after, fits),
@@ -140,8 +140,8 @@
         }
     }
 
-    /// The changes after the one of this number, as many as `fits` allows, but one at the least. `fits` is asked
-    /// with each further change of the page in turn, and says whether that still fits.
+    /// The changes after the number `after`, as many as `fits` allows but at least one. `fits` is called with each
+    /// further change in turn, and says whether the page still has room for it.
     pub fn page_after(&self, after: u64, mut fits: impl FnMut(&Change) -> bool) -> LogPage {
         let mut page = LogPage {
             changes: Vec::new(),
--- a/crates/gateway/src/peers/configuration.rs
+++ b/crates/gateway/src/peers/configuration.rs
@@ -1,5 +1,5 @@
-//! Takes the configuration from another daemon where the store has lost it, and asks others at the start which version they
-//! hold: a store that came back from a copy names an older one until the operator has written again.
+//! Transfers the configuration from another daemon if the store has lost it, and asks others at the start which version
+//! they hold: a store restored from a copy has an older one until the operator writes again.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,82 +19,81 @@
 use crate::state::{GatewayState, STARTUP_WINDOW};
 use crate::store::{Rejected, apply_handed_on_configuration};
 
-/// Answers that wait to be taken in: those of two questions.
+/// The capacity of the reply queue: the replies to two queries.
 pub(super) const MAX_QUEUED_REPLIES: usize = 2 * MAX_PIECES as usize;
 
-/// Others that are asked at the start which version they hold.
+/// The number of daemons that are asked at the start which version they hold.
 const MAX_ASKED: usize = 3;
 
-/// How long their answers are waited for: a round trip between zones takes some ten milliseconds, and of daemons that all
-/// start at once none waits longer for the others.
+/// How long to wait for their replies: a round trip between zones takes some ten milliseconds, and among daemons that
+/// all start at once none waits longer for the others.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long requests with keys wait at the most for the first word of others once the configuration was read: joining the
-/// other daemons takes two calls to the store.
+/// The maximum time that requests with keys wait for the replies of others after the configuration was read: joining
+/// the other daemons takes two calls to the store.
 const MAX_CONFIRMATION_WAIT: Duration = Duration::from_millis(250);
 
-/// How long a newer version that others hold is waited for at the start: a read of the store that fails takes 1.5 s.
+/// How long to wait at the start for a newer version that others hold: a failing read of the store takes 1.5 s.
 const NEWER_VERSION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often it is looked for.
+/// The interval at which that version is checked for.
 const NEWER_VERSION_POLL: Duration = Duration::from_millis(5);
 
-/// How long the next piece is waited for.
+/// How long to wait for the next piece.
 const PIECE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Questions in a row that brought no piece after which the transfer is given up.
+/// The number of consecutive queries without a new piece after which the transfer fails.
 const MAX_EMPTY_ROUNDS: u32 = 4;
 
-/// How long a whole transfer may take: the longest document at 1 MB a second, 32 kB for each round trip of 30 ms.
+/// The time limit of a whole transfer: the longest document at 1 MB/s, that is, 32 kB per round trip of 30 ms.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(32);
 
-/// The pause after the first transfer that failed; doubled after each further one.
+/// The pause after the first failed transfer; doubled after each further one.
 const INITIAL_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The longest such pause.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
-/// Why no configuration was taken from another daemon.
+/// Why a transfer of the configuration from another daemon failed.
 #[derive(Debug, thiserror::Error)]
 enum TransferError {
-    /// No daemon is known that holds it.
-    #[error("no holder is known")]
+    /// No daemon is known to hold a configuration.
+    #[error("no daemon is known to hold a configuration")]
     NoHolder,
-    /// The other daemon does not answer any more.
-    #[error("no piece came")]
+    /// The holder has stopped sending pieces.
+    #[error("no new piece arrived for {MAX_EMPTY_ROUNDS} queries in a row")]
     NoPiece,
-    /// It took too long.
-    #[error("it took longer than {TRANSFER_TIMEOUT:?}")]
+    /// The transfer exceeded [`TRANSFER_TIMEOUT`].
+    #[error("the transfer took longer than {TRANSFER_TIMEOUT:?}")]
     TimedOut,
-    /// The other daemon holds no newer one than this one.
-    #[error("the other one holds version {0}")]
+    /// The holder's version is not newer than the own one.
+    #[error("the holder has version {0}, which is not newer")]
     NotNewer(u64),
-    /// The pieces make no document.
+    /// The pieces can't be assembled.
     #[error(transparent)]
     Pieces(#[from] PieceError),
-    /// The document is no configuration.
+    /// The document is not a valid configuration.
     #[error(transparent)]
     Unreadable(#[from] Unreadable),
-    /// The document is of another version than was told.
-    #[error("version {told} was told, the document is of {read}")]
+    /// The document has another version than the replies.
+    #[error("the replies name version {told}, but the document has version {read}")]
     OtherVersion {
-        /// The version in the answers.
+        /// The version in the replies.
         told: u64,
-        /// That of the document.
+        /// The version of the document.
         read: u64,
     },
 }
 
-/// What was heard at the start.
+/// Whether other daemons have confirmed at the start which version is the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Confirmation {
-    /// Another daemon that has run for a while told its version, or nobody has run before.
+    /// A daemon that has run for a while reported its version, or the deployment starts for the first time.
     Confirmed,
-    /// No such daemon answered, of so many.
+    /// None of the `asked` daemons did so.
     Unconfirmed { asked: usize },
 }
 
-/// Answers a question.
+/// Replies to a query.
 pub(super) async fn answer(
     state: &GatewayState,
     socket: &UdpSocket,
@@ -108,7 +107,7 @@
     }
 }
 
-/// Asks others at the start which version they hold; then, for ever, takes the configuration from another daemon whenever the
+/// Asks others at the start which version they hold, then transfers the configuration from another daemon whenever the
 /// store has lost it.
 pub(super) async fn exchange(
     state: Rc<GatewayState>,
@@ -134,7 +133,7 @@
     }
 }
 
-/// Lets requests with keys through after a bounded time, though other daemons have not been heard.
+/// Admits requests with keys after a limited time even if no other daemon has replied.
 pub async fn limit_confirmation_wait(state: Rc<GatewayState>) {
     state.currency.until_proved().await;
     tokio::time::sleep(MAX_CONFIRMATION_WAIT).await;
@@ -147,8 +146,8 @@
     state.refresh_readiness();
 }
 
-/// Asks some others which version they hold, and waits for one that has run for a while or for all of them. Where all start
-/// for the first time, nobody can know more than the store.
+/// Asks some others which version they hold, and waits until one that has run for a while or all of them have replied.
+/// If all start for the first time, no daemon can know more than the store.
 async fn confirm_version(
     state: &GatewayState,
     socket: &UdpSocket,
@@ -180,13 +179,15 @@
     };
     let confirmation = tokio::time::timeout(CONFIRMATION_TIMEOUT, settled_reply).await;
     confirmation.unwrap_or_else(|_| {
-        log::debug!("not all of {others:?} told which configuration they hold");
+        log::debug!(
+            "configuration version not confirmed by {others:?} within {CONFIRMATION_TIMEOUT:?}"
+        );
         Confirmation::Unconfirmed { asked }
     })
 }
 
-/// Tells operators that the configuration in force may be older than the newest: it was read of a store that may have come
-/// back from a copy, and nobody was there who would know. A newer one ends that.
+/// Warns operators that the configuration in force may not be the newest: it was read from a store that may have been
+/// restored from a copy, and no other daemon could confirm it. A newer version ends this condition.
 async fn report_unconfirmed(state: Rc<GatewayState>, asked: usize) {
     state.currency.until_proved().await;
     let position = state.configuration_position.get();
@@ -200,7 +201,7 @@
     state.status.metrics.configuration_unconfirmed.set(1);
 }
 
-/// The addresses of those who are asked: the first in rank of the own group, and others in turn from start to start.
+/// The addresses of the daemons to ask: the first in rank of the own group, and others in a random rotation.
 fn daemons_to_ask(state: &GatewayState) -> Vec<String> {
     let directory = state.peers.directory();
     let own = &state.peers.own().name;
@@ -217,7 +218,8 @@
     addresses
 }
 
-/// Waits until this daemon holds the newest version that others told, or a read has shown that the store has lost that.
+/// Waits until this daemon holds the newest version that others have reported, or a read has shown that the store has
+/// lost it.
 async fn until_newest_held(state: &GatewayState) {
     if state.configuration_version() >= state.currency.highest() {
         return;
@@ -234,11 +236,13 @@
         .await
         .is_err()
     {
-        log::debug!("a newer configuration that others hold was not read at the start");
+        log::debug!(
+            "a newer configuration that others hold was not obtained within {NEWER_VERSION_TIMEOUT:?}"
+        );
     }
 }
 
-/// Takes the configuration from the daemon that told the highest version.
+/// Transfers the configuration from the daemon that reported the highest version.
 async fn transfer_configuration(
     state: &GatewayState,
     socket: &UdpSocket,
@@ -251,13 +255,12 @@
     let pieces = pieces.map_err(|_| TransferError::TimedOut)??;
     let configuration = read(state, pieces)?;
     apply_handed_on_configuration(state, configuration, &holder.to_string());
-    // A read that shows an older version proves what is held now.
+    // A read that returns an older version proves the version that is held now.
     state.currency.request_proof();
     state.refresh_readiness();
     Ok(())
 }
 
-/// Receives all pieces.
 async fn receive_all(
     state: &GatewayState,
     socket: &UdpSocket,
@@ -294,7 +297,7 @@
     pieces.map_or(0, ConfigurationPieces::first_missing)
 }
 
-/// Takes in the answers to one question, until the pieces before `end` are there, or all, or no more come.
+/// Collects the replies to one query until the pieces before `end` or all pieces are there, or none arrives in time.
 async fn receive_until(
     end: u32,
     nonce: u64,
@@ -321,7 +324,7 @@
     }
 }
 
-/// Reads the document as one that the store lists is read.
+/// Parses the document like one from the store.
 fn read(state: &GatewayState, pieces: ConfigurationPieces) -> Result<Configuration, TransferError> {
     let told = pieces.version();
     let document = pieces.into_document()?;
@@ -333,14 +336,14 @@
     }
 }
 
-/// Logs a failure; what is wrong with what came is counted too.
+/// Logs a failure; invalid data from the holder is also counted.
 fn note_failure(state: &GatewayState, error: &TransferError) {
     let reason = match error {
         TransferError::NoHolder
         | TransferError::NoPiece
         | TransferError::TimedOut
         | TransferError::NotNewer(_) => {
-            return log::debug!("no configuration was taken from another daemon: {error}");
+            return log::debug!("configuration transfer from another daemon failed: {error}");
         }
         TransferError::Unreadable(unreadable) => unreadable.reason,
         TransferError::Pieces(_) | TransferError::OtherVersion { .. } => UnreadableReason::Fields,
--- a/crates/gateway/src/peers/configuration_message.rs
+++ b/crates/gateway/src/peers/configuration_message.rs
@@ -1,52 +1,53 @@
-//! The datagrams by which one daemon takes the configuration from another.
+//! The datagrams that transfer the configuration from one daemon to another.
 
 use musli::{Decode, Encode};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::configuration::Configuration;
 
-/// Bytes of a piece: with the other fields it stays below [`super::message::MAX_DATAGRAM_BYTES`].
+/// The size of a piece in bytes: with the other fields, the datagram stays below
+/// [`super::message::MAX_DATAGRAM_BYTES`].
 pub const PIECE_BYTES: usize = 1024;
 
-/// Pieces that one question may ask for, 32 kB: a socket's buffer of usual size (212,992 bytes, in which each datagram of this
-/// size takes 2,304) holds all of them, however late they are read.
+/// The number of pieces that one query may ask for, 32 kB in all. A socket buffer of the usual size (212,992 bytes, of
+/// which each such datagram takes 2,304) holds all of them, however late they are read.
 pub const MAX_PIECES: u32 = 32;
 
-/// Asks which configuration the receiver holds, and for pieces of its document.
+/// Asks which version of the configuration the receiver holds, and for pieces of its document.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationQuery {
-    /// Returned in the answers.
+    /// Copied into the replies.
     pub nonce: u64,
-    /// The first piece that is wanted.
+    /// The number of the first requested piece.
     pub first_piece: u32,
-    /// How many are wanted, [`MAX_PIECES`] at the most; none where only the version is asked for.
+    /// The number of requested pieces, [`MAX_PIECES`] at most; 0 asks for the version only.
     pub pieces: u32,
 }
 
-/// Answers that; one for each piece, or one without a piece.
+/// A reply to [`ConfigurationQuery`]: one for each piece, or a single one without a piece.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationReply {
-    /// The nonce of the question.
+    /// The nonce of the query.
     pub nonce: u64,
     /// The version that the sender holds; 0 for none.
     pub version: u64,
-    /// Whether the sender has run for a while, so that it knows what others know.
+    /// Whether the sender has run long enough to know what other daemons know.
     pub is_settled: bool,
-    /// The digest of the whole document.
+    /// The digest of the whole document; 0 if only the version was asked for.
     pub digest: u64,
     /// The length of the whole document, in bytes.
     pub length: u32,
-    /// The piece.
+    /// The piece; none if the reply has only the version.
     #[musli(default)]
     pub piece: Option<ConfigurationPiece>,
 }
 
-/// A piece of the document of a configuration.
+/// A piece of a configuration's document.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationPiece {
-    /// Its number: it begins [`PIECE_BYTES`] times as many bytes after the begin of the document.
+    /// Its number: its offset in the document is [`PIECE_BYTES`] times this.
     pub number: u32,
-    /// Its bytes, [`PIECE_BYTES`] but for the last piece.
+    /// Its bytes: [`PIECE_BYTES`] of them, fewer in the last piece.
     #[musli(bytes)]
     pub bytes: Vec<u8>,
 }
@@ -56,7 +57,7 @@
     xxh3_64(document)
 }
 
-/// The answers to a question, by a daemon that holds `configuration`.
+/// The replies of a daemon that holds `configuration` to a query.
 pub fn answers(
     query: &ConfigurationQuery,
     configuration: Option<&Configuration>,
@@ -86,7 +87,7 @@
     }
 }
 
-/// One piece of a document; nothing beyond its end.
+/// A piece of the document, or `None` beyond its end.
 fn piece_of(document: &[u8], number: u32) -> Option<ConfigurationPiece> {
     let begin = usize::try_from(number).ok()?.checked_mul(PIECE_BYTES)?;
     let rest = document.get(begin..).filter(|rest| !rest.is_empty())?;
--- a/crates/gateway/src/peers/configuration_pieces.rs
+++ b/crates/gateway/src/peers/configuration_pieces.rs
@@ -1,47 +1,48 @@
-//! Puts the document of a configuration together from pieces.
+//! Assembles the document of a configuration from pieces.
 
 use std::collections::BTreeMap;
 
 use super::configuration_message::{ConfigurationReply, MAX_PIECES, PIECE_BYTES, document_digest};
 
-/// The longest document that is taken from another daemon, in bytes: ten times the one of 41,000 tenants (3 MB).
+/// The maximum length of a document from another daemon, in bytes: ten times that of a configuration with 41,000
+/// tenants (3 MB).
 pub const MAX_DOCUMENT_BYTES: u32 = 32 * 1024 * 1024;
 
-/// Why a document can't be put together.
+/// Why a document can't be assembled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum PieceError {
-    /// There is none, or it is longer than [`MAX_DOCUMENT_BYTES`].
-    #[error("a document of {0} bytes is not taken")]
+    /// The document is empty, or longer than [`MAX_DOCUMENT_BYTES`].
+    #[error("document length of {0} bytes is not between 1 and {MAX_DOCUMENT_BYTES}")]
     Length(u32),
-    /// A piece is of another document than those before.
-    #[error("a piece is of another document, of version {0}")]
+    /// A piece belongs to another document than the earlier ones.
+    #[error("a piece belongs to another document, of version {0}")]
     OtherDocument(u64),
-    /// A piece is shorter or longer than it should be, or lies beyond the end.
-    #[error("piece {0} is not of the right size")]
+    /// A piece is too short or too long, or lies beyond the end.
+    #[error("piece {0} has the wrong size")]
     Size(u32),
-    /// The digest of the whole is another one than was told.
-    #[error("the document is not the one that was told")]
+    /// The digest of the document differs from that in the replies.
+    #[error("the document is incomplete or its digest does not match")]
     Digest,
 }
 
-/// A document of which pieces have come. Memory is taken as pieces come, not as a length is told.
+/// A partially received document. Memory is allocated as pieces arrive, not by the announced length.
 #[derive(Debug)]
 pub struct ConfigurationPieces {
     version: u64,
     digest: u64,
     length: u32,
-    /// All pieces before the first one that is missing.
+    /// The contiguous pieces before the first missing one.
     bytes: Vec<u8>,
-    /// Pieces after that one, [`MAX_PIECES`] at the most.
+    /// Pieces after the missing one, [`MAX_PIECES`] at most.
     out_of_order: BTreeMap<u32, Vec<u8>>,
 }
 
 impl ConfigurationPieces {
-    /// A document as the first answer tells it; none of its pieces is taken in.
+    /// Starts a document with the properties in the first reply, whose piece is not added.
     ///
     /// # Errors
     ///
-    /// The document is too long, or there is none.
+    /// The document is too long, or empty.
     pub fn begin(told: &ConfigurationReply) -> Result<Self, PieceError> {
         if told.length == 0 || told.length > MAX_DOCUMENT_BYTES {
             return Err(PieceError::Length(told.length));
@@ -60,21 +61,21 @@
         self.version
     }
 
-    /// The number of the first piece that is missing.
+    /// The number of the first missing piece.
     pub fn first_missing(&self) -> u32 {
         u32::try_from(self.bytes.len().div_ceil(PIECE_BYTES)).unwrap_or(u32::MAX)
     }
 
-    /// Whether no piece is missing.
+    /// Whether all pieces have arrived.
     pub fn is_whole(&self) -> bool {
         self.bytes.len() == self.length as usize
     }
 
-    /// Takes in a piece; one that has come before changes nothing.
+    /// Adds a piece; a duplicate has no effect.
     ///
     /// # Errors
     ///
-    /// It does not fit to those before: the whole is to be dropped.
+    /// The piece doesn't match the earlier ones: the whole document must be discarded.
     pub fn add(&mut self, told: ConfigurationReply) -> Result<(), PieceError> {
         let is_same =
             (told.version, told.digest, told.length) == (self.version, self.digest, self.length);
@@ -97,18 +98,18 @@
         Ok(())
     }
 
-    /// The size of a piece, in bytes; nothing beyond the end.
+    /// The expected size of a piece, in bytes, or `None` beyond the end.
     fn size_of(&self, number: u32) -> Option<usize> {
         let begin = usize::try_from(number).ok()?.checked_mul(PIECE_BYTES)?;
         let rest = (self.length as usize).checked_sub(begin)?;
         Some(rest.min(PIECE_BYTES)).filter(|size| *size > 0)
     }
 
-    /// The document, all pieces of which have come.
+    /// The complete document.
     ///
     /// # Errors
     ///
-    /// It is not the one that was told.
+    /// Pieces are missing, or the digest differs.
     pub fn into_document(self) -> Result<Vec<u8>, PieceError> {
         match self.is_whole() && document_digest(&self.bytes) == self.digest {
             true => Ok(self.bytes),
--- a/crates/gateway/src/peers/convert.rs
+++ b/crates/gateway/src/peers/convert.rs
@@ -1,11 +1,11 @@
-//! Entries of the store as daemons tell them to each other, and back.
+//! Conversions between entries of the store and their form in datagrams.
 
 use std::time::Duration;
 
 use super::message::{WireDaemon, WireReplica};
 use crate::protocol::{DaemonRecord, ModelVersion, ReplicaEntry, ReplicaIncarnation};
 
-/// A time in whole milliseconds, as datagrams bear it.
+/// A time in whole milliseconds, as used in datagrams.
 pub(crate) fn to_ms(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
@@ -29,7 +29,7 @@
 }
 
 impl WireReplica {
-    /// The entry; nothing where the address can't be read.
+    /// The entry, or `None` if the address is invalid.
     pub fn to_entry(&self) -> Option<ReplicaEntry> {
         let models = self.models.iter();
         Some(ReplicaEntry {
--- a/crates/gateway/src/peers/directory.rs
+++ b/crates/gateway/src/peers/directory.rs
@@ -1,7 +1,7 @@
-//! The daemons known, in the order in which they take roles.
+//! The known daemons, in the order in which they take roles.
 //!
-//! Every daemon ranks the others alike: those whose machines can carry more come first, equal ones by the hash of
-//! their names. Hundreds of daemons are ranked once for each change of them, not for each datagram.
+//! All daemons rank each other alike: those with more capacity come first, equal ones by the hash of their names.
+//! Hundreds of daemons are ranked once per change of a daemon, not per datagram.
 
 use std::collections::BTreeMap;
 
@@ -9,24 +9,24 @@
 
 use super::message::WireDaemon;
 
-/// Daemons that form one group whatever their zones; more are grouped by zone.
+/// The maximum number of daemons that form a single group regardless of their zones; more are grouped by zone.
 const MAX_SINGLE_GROUP: usize = 16;
 
-/// The daemons known.
+/// The known daemons.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Directory {
-    /// How many there are, this one too.
+    /// The number of daemons, including this one.
     pub count: usize,
-    /// The name of the own group: its zone, where there are others.
+    /// The name of the own group: its zone if there are several groups, otherwise empty.
     pub group_name: String,
-    /// The own group by rank; this daemon is among them.
+    /// The own group by rank, including this daemon.
     pub group: Vec<WireDaemon>,
     /// The other groups by zone, each by rank.
     pub other_groups: BTreeMap<String, Vec<WireDaemon>>,
 }
 
 impl Directory {
-    /// Ranks `daemons` as `own` sees them, which may be among them.
+    /// Ranks `daemons` from the point of view of `own`, which may be among them.
     pub fn new(daemons: &[WireDaemon], own: &WireDaemon) -> Self {
         let others = daemons.iter().filter(|daemon| daemon.name != own.name);
         let mut ranked: Vec<WireDaemon> = others.cloned().collect();
@@ -55,13 +55,13 @@
         directory
     }
 
-    /// Every daemon, this one too.
+    /// All daemons, including this one.
     pub fn all(&self) -> impl Iterator<Item = &WireDaemon> {
         let others = self.other_groups.values().flatten();
         self.group.iter().chain(others)
     }
 
-    /// The daemons with the highest weights, `count` at the most, the highest first.
+    /// The daemons with the highest weights, at most `count`, the highest first.
     pub fn highest(&self, count: usize, weight: impl Fn(&WireDaemon) -> u64) -> Vec<&WireDaemon> {
         let mut highest: Vec<(u64, &WireDaemon)> = Vec::with_capacity(count + 1);
         for daemon in self.all() {
@@ -73,7 +73,7 @@
         highest.into_iter().map(|(_, daemon)| daemon).collect()
     }
 
-    /// The first in rank of every other group, by rank.
+    /// The first daemon of every other group, by rank.
     pub fn first_of_other_groups(&self) -> Vec<WireDaemon> {
         let groups = self.other_groups.values();
         let mut first: Vec<WireDaemon> =
@@ -83,22 +83,22 @@
     }
 }
 
-/// Whether `one` takes roles before `other`.
+/// Whether `one` ranks before `other`.
 pub fn ranks_before(one: &WireDaemon, other: &WireDaemon) -> bool {
     rank(one) < rank(other)
 }
 
-/// The digest by which daemons name each other in reports.
+/// The digest by which daemons identify each other in reports.
 pub fn name_digest(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// A short form of [`name_digest`], where two daemons with the same one do little harm.
+/// A short form of [`name_digest`], for uses in which a collision does little harm.
 pub fn short_digest(name: &str) -> u32 {
     name_digest(name) as u32
 }
 
-/// What daemons are ranked by.
+/// The sort key of the ranking.
 fn rank(daemon: &WireDaemon) -> (std::cmp::Reverse<u32>, u64, String) {
     let hash = name_digest(&daemon.name);
     (
--- a/crates/gateway/src/peers/followed_log.rs
+++ b/crates/gateway/src/peers/followed_log.rs
@@ -1,7 +1,7 @@
-//! Where a daemon stands in the change log of the daemon that it asks.
+//! A daemon's position in the change log of its source.
 //!
-//! What it learns elsewhere, from its own lists of the store or from another daemon, is not in that log; so
-//! it then starts anew. Where both have the same items by then, as their digests show, nothing is sent.
+//! What the daemon learns elsewhere, from its own lists of the store or from another daemon, is not in that log, so it
+//! then restarts from the beginning. If both have the same items by then, as their digests show, nothing is sent.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use super::change_log::ChangeLog;
 use super::message::{Change, Item, ItemKey, SyncReply};
 
-/// By how much the age of one and the same view may differ between its teller and one who was told: ages are rounded up.
+/// The maximum difference between the ages of the same view at its sender and at its receiver: ages are rounded up.
 const AGE_ROUNDING: Duration = Duration::from_millis(2);
 
-/// The place in the log of the daemon that is asked.
+/// The position in the source's change log.
 #[derive(Debug, Default)]
 pub struct FollowedLog {
     log_id: u64,
@@ -23,21 +23,22 @@
 }
 
 impl FollowedLog {
-    /// Starts anew with the next question.
+    /// Restarts from the beginning with the next query.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// What is said in a question of a daemon whose own items are `own`: the log, the last change that is
-    /// known of it, the digest of its items.
+    /// The log id, the last known change and the digest of all items for the next query of a daemon whose items are
+    /// `own`.
     pub fn query_fields(&mut self, own: &ChangeLog) -> (u64, u64, u64) {
         self.queried_digest = Some(own.content_digest());
         (self.log_id, self.sequence, own.content_digest())
     }
 
-    /// Whether a daemon whose own view is `own_view_age` old would go back to an older one with the answer of a daemon that
-    /// it does not follow yet, and so use replicas again that it knows to have left: one that was cut off may tell what
-    /// others told it before. One that has the same items is not behind, however old its proof.
+    /// Whether the reply of a daemon that wasn't followed so far would replace the own view, which is `own_view_age`
+    /// old, with an older one. The own daemon would then use replicas again that it knows to have left: a source that
+    /// was cut off may relay what others reported earlier. A source with the same items is not older, whatever the age
+    /// of its proof.
     pub fn has_older_view(&self, answer: &SyncReply, own_view_age: Option<Duration>) -> bool {
         let told_age = answer.view_age_ms.map(Duration::from_millis);
         let ages = told_age.zip(own_view_age);
@@ -45,13 +46,13 @@
         is_older && !answer.has_same_items && answer.log_id != self.log_id
     }
 
-    /// Whether the last answer left nothing out: what its teller knew is known here. Before the last page of a
-    /// transfer it is not, and others must not be told what is here as if it were all.
+    /// Whether the last reply was complete, so that everything its sender knew is known here. It isn't before the last
+    /// page of a transfer, and a partial state must not be passed on as complete.
     pub fn knows_all(&self) -> bool {
         self.knows_all
     }
 
-    /// The changes that follow from an answer for a daemon whose own items are `own`.
+    /// Applies a reply; returns the resulting changes to the items `own` of this daemon.
     pub fn apply(&mut self, answer: &SyncReply, own: &ChangeLog) -> Vec<Change> {
         self.knows_all = false;
         if answer.has_same_items {
--- a/crates/gateway/src/peers/known.rs
+++ b/crates/gateway/src/peers/known.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows through its peers, and whom it tells.
+//! The state shared by the tasks that synchronize this daemon with its peers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,66 +19,66 @@
 use super::view::View;
 use crate::cache::CachedNews;
 
-/// Tokens from which others are told what a replica was given to read.
+/// The minimum size of a prompt, in tokens to prefill, that is reported to others.
 pub(super) const MIN_REPORTED_TOKENS: u64 = 1200;
 
-/// Prompts of one datagram; more are dropped. So many stay below the bound of a datagram, 1,200 bytes, with
-/// ids of usual length.
+/// The number of prompts in a datagram; further ones are dropped. With ids of usual length this many stay below the
+/// size limit of a datagram, 1,200 bytes.
 pub const MAX_PROMPTS: usize = 18;
 
-/// Seeds that are asked before the store. Each that is silent takes 0.65 s and is then passed over for 2.5 s: all of them have
-/// been asked in vain before the first one has its turn again, and this daemon reads the store.
+/// The number of seeds that are queried before the store. One that doesn't reply takes 0.65 s and is then skipped for
+/// 2.5 s, so all of them have failed before the first one's turn comes again, and this daemon reads the store.
 const MAX_SEEDS: usize = 3;
 
-/// How long a daemon that has just started waits for its source to tell it all replicas before it lists them itself: as long
-/// as others wait for a reader that knows nothing yet.
+/// How long a daemon that has just started waits for all replicas from its source before it lists them itself: as long
+/// as others wait for a reader without a view.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1300);
 
-/// How often it looks whether it was told.
+/// The interval at which it checks whether the source has sent them.
 const FIRST_LIST_POLL: Duration = Duration::from_millis(20);
 
-/// What a daemon knows through its peers, and whom it tells.
+/// The state shared by the tasks that synchronize this daemon with its peers.
 #[derive(Debug)]
 pub struct Peers {
-    /// Replicas and daemons.
+    /// The known replicas and daemons.
     pub log: RefCell<ChangeLog>,
-    /// Pages of it that others asked for.
+    /// Cached pages of [`Peers::log`] in the packed form.
     pub(super) packed_pages: RefCell<PackedPages>,
-    /// Wakes the task that tells others of news.
+    /// Wakes the task that sends changes to others.
     pub outbox_changed: Notify,
     /// Whether this daemon reads the store itself.
     pub is_reader: Cell<bool>,
-    /// Whether this daemon is one of those that may call the store on their own account; a daemon that has just started
-    /// is, until it has asked others.
+    /// Whether this daemon is one of those that may call the store on their own account; true for a daemon that has
+    /// just started until it has chosen a source.
     pub may_read: Cell<bool>,
-    /// Wakes the tasks that wait to become the reader.
+    /// Wakes the tasks that wait for a change of [`Peers::is_reader`].
     pub reader_changed: Notify,
-    /// Whether this daemon leads its group: those before it in rank are silent.
+    /// Whether this daemon leads its group: those ahead of it in rank don't reply.
     pub is_leader: Cell<bool>,
-    /// Wakes the tasks that wait to lead.
+    /// Wakes the tasks that wait for a change of [`Peers::is_leader`].
     pub(super) leader_changed: Notify,
-    /// The address of the daemon that this one asks; none where it reads the store itself.
+    /// The address of the daemon that this one queries; none if it reads the store itself.
     pub(super) source: RefCell<Option<String>>,
-    /// The address of the leader of the group, where that is another daemon.
+    /// The address of the group's leader, if that is another daemon.
     pub(super) leader: RefCell<Option<String>>,
-    /// Whom to send to in other groups.
+    /// The receivers in other groups.
     pub(super) relays: Relays,
-    /// The daemons ranked, and the number of changes of daemons at which they were.
+    /// The ranked daemons, and the count of daemon changes for which they were ranked.
     directory: RefCell<Option<(u64, Rc<Directory>)>>,
     has_all_daemons: Cell<bool>,
     rotation: Cell<u32>,
-    /// What this daemon learnt of stores of cached prompt work, to be told to the group.
+    /// Changes in the contents of prompt-cache stores that have yet to be sent to the group.
     pub(super) cached_news: RefCell<Vec<CachedNews>>,
-    /// Wakes the task that tells it.
+    /// Wakes the task that sends them.
     pub(super) cached_news_added: Notify,
-    /// Whether this daemon, as the reader, follows the replicas.
+    /// Whether this daemon, as the reader, watches the replicas in the store.
     pub follows_replicas: Cell<bool>,
     pub(super) view: View,
     pub(super) reader_since: Cell<Duration>,
     pub(super) seeds: Vec<WireDaemon>,
     pub(super) own: WireDaemon,
     pub(super) followers: RefCell<HashMap<SocketAddr, Instant>>,
-    /// When those who ask were last told what replicas say of themselves.
+    /// When each querying daemon was last sent the notices of replicas.
     pub(super) reminded_at: RefCell<HashMap<SocketAddr, Instant>>,
     pub(super) followed: RefCell<FollowedLog>,
     pub(super) nonce: Cell<u64>,
@@ -88,16 +88,16 @@
     pub(super) prompt_relay: PromptRelay,
     pub(super) must_announce_changes: Cell<bool>,
     pub(super) must_announce_store: Cell<bool>,
-    /// Whether a source has been chosen, and with it whether this daemon may read the store.
+    /// Whether a source has been chosen, which also sets [`Peers::may_read`].
     has_chosen_source: Cell<bool>,
-    /// Wakes the task that waits for that.
+    /// Wakes the task that waits for the first choice.
     source_chosen: Notify,
-    /// The highest version of the configuration that another daemon told, and the last one that told it.
+    /// The highest version of the configuration that another daemon has reported, and the last daemon that reported it.
     configuration_holder: Cell<Option<(u64, SocketAddr)>>,
 }
 
 impl Peers {
-    /// The peers of the daemon `own`; `life` differs from that of every other life.
+    /// The state of the daemon `own`; `incarnation` differs from that of every other start.
     pub fn new(own: WireDaemon, seeds: Vec<WireDaemon>, incarnation: u64) -> Self {
         Self {
             log: RefCell::new(ChangeLog::new(incarnation)),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Takes in that the daemon at `holder` holds this version of the configuration.
+    /// Records that the daemon at `holder` has this version of the configuration.
     pub(super) fn note_configuration(&self, version: u64, holder: SocketAddr) {
         let known = self.configuration_holder.get();
         if version > 0 && known.is_none_or(|(known, _)| known <= version) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Who holds the highest version of the configuration that another daemon told.
+    /// The daemon that last reported the highest version of the configuration.
     pub(super) fn configuration_holder(&self) -> Option<SocketAddr> {
         self.configuration_holder.get().map(|(_, holder)| holder)
     }
@@ -155,7 +155,7 @@
         &self.own
     }
 
-    /// The daemons known, ranked anew where they have changed.
+    /// The known daemons, ranked again only if they have changed.
     pub fn directory(&self) -> Rc<Directory> {
         let log = self.log.borrow();
         let changes = log.daemon_changes();
@@ -174,7 +174,7 @@
             .unwrap_or_default()
     }
 
-    /// Those who may be asked: the own group, or the first seeds as long as not all daemons are known.
+    /// The daemons that may be queried: the own group, or the first seeds until all daemons are known.
     pub(super) fn group(&self, directory: &Directory) -> Vec<WireDaemon> {
         if self.has_all_daemons.get() || self.seeds.is_empty() {
             return directory.group.clone();
@@ -183,8 +183,8 @@
         seeds.chain([&self.own]).cloned().collect()
     }
 
-    /// Takes in that every daemon is known that another daemon or the store lists. Before that, ranks mean nothing:
-    /// some of the daemons known may know less than this one.
+    /// Records that all daemons are known that another daemon or the store lists. Before that, ranks are meaningless:
+    /// some of the known daemons may know less than this one.
     pub fn note_daemons_known(&self) {
         self.has_all_daemons.set(true);
     }
@@ -194,7 +194,7 @@
         self.has_all_daemons.get()
     }
 
-    /// The place of this daemon in its group; 0 is the first.
+    /// The rank of this daemon in its group; 0 is the first.
     pub fn rank(&self) -> u32 {
         let directory = self.directory();
         let position = directory
@@ -206,28 +206,28 @@
             .unwrap_or(0)
     }
 
-    /// Takes in that all that is known here was in the store at `moment`, as this daemon has read.
+    /// Records that the known state was in the store at `moment`, read by this daemon.
     pub fn prove_view(&self, moment: Instant) {
         let own = self.log.borrow().id();
         self.view.prove(moment, Some(own), Instant::now());
     }
 
-    /// Takes in that all that is known here was known at `moment` to the reader of the whole store that has this log.
+    /// Records that the reader of the whole store with this log id had the known state at `moment`.
     pub(super) fn prove_told_view(&self, moment: Instant, reader: Option<u64>) {
         self.view.prove(moment, reader, Instant::now());
     }
 
-    /// The log of the reader of the store that knew all that is known here.
+    /// The log id of the reader of the store from which the known state came.
     pub(super) fn view_reader_log(&self) -> Option<u64> {
         self.view.reader()
     }
 
-    /// How long ago all that is known here was known to a reader of the whole store.
+    /// How long ago a reader of the whole store had the known state.
     pub fn view_age(&self) -> Option<Duration> {
         self.view.age(Instant::now())
     }
 
-    /// Until when a replica whose entry is gone at `now` stays in use, see [`View::keep_until`].
+    /// Until when a replica whose entry was removed at `now` stays in use, see [`View::keep_until`].
     pub fn keep_until(&self, now: Instant, in_touch_at: Option<Instant>) -> Option<Instant> {
         self.view.keep_until(now, in_touch_at)
     }
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Asks the source at once.
+    /// Queries the source immediately.
     pub fn ask_now(&self) {
         self.ask_now.notify_one();
     }
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Takes in whether this daemon may read the store for its group, as a source has been chosen.
+    /// Records whether this daemon may read the store for its group, after a source has been chosen.
     pub(super) fn set_may_read(&self, may_read: bool) {
         self.may_read.set(may_read);
         if !self.has_chosen_source.replace(true) {
@@ -259,9 +259,9 @@
         }
     }
 
-    /// Whether this daemon, which has just started, lists the replicas itself: where it may read the store for its group, or
-    /// its source has not told it all of them in time. The lists of hundreds that start together would fill the
-    /// store's link, and the readers would wait for theirs behind them.
+    /// Whether this daemon, which has just started, must list the replicas itself: it may read the store for its group,
+    /// or its source has not sent all of them in time. The lists of hundreds of daemons that start together would fill
+    /// the store's link, and those of the readers would queue behind them.
     pub async fn must_list_at_start(&self) -> bool {
         while !self.has_chosen_source.get() {
             self.source_chosen.notified().await;
@@ -285,19 +285,19 @@
         }
     }
 
-    /// The address of the daemon that this one asks; none where it reads the store itself.
+    /// The address of the daemon that this one queries; none if it reads the store itself.
     pub fn source_address(&self) -> Option<String> {
         self.source.borrow().clone()
     }
 
-    /// A number that differs from report to report.
+    /// The rotation for the next report.
     pub(super) fn next_rotation(&self) -> u32 {
         let rotation = self.rotation.get().wrapping_add(1);
         self.rotation.set(rotation);
         rotation
     }
 
-    /// Takes in which daemon leads the group.
+    /// Records which daemon leads the group.
     pub(super) fn set_leader(&self, leader: Option<&WireDaemon>) {
         let is_leader = leader.is_some_and(|leader| leader.name == self.own.name);
         let other = leader.filter(|_| !is_leader);
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Tells the group what this daemon learnt of a store of cached prompt work.
+    /// Sends to the group what this daemon has learned of a prompt-cache store.
     pub fn announce_cached(&self, news: CachedNews) {
         if news.is_known && !news.is_from_start && news.changes.is_empty() {
             return;
@@ -317,20 +317,20 @@
         self.cached_news_added.notify_one();
     }
 
-    /// A number for the next question.
+    /// The nonce for the next query.
     pub(super) fn next_nonce(&self) -> u64 {
         let nonce = self.nonce.get() + 1;
         self.nonce.set(nonce);
         nonce
     }
 
-    /// Tells every daemon how a replica's loading of weights goes.
+    /// Reports the state of a replica's weight load to every daemon.
     pub fn report_load_status(&self, status: LoadStatus) {
         self.load_statuses.borrow_mut().push(status);
         self.outbox_changed.notify_one();
     }
 
-    /// Reports to the other daemons which prompt a replica was given, where it has much to read or to keep.
+    /// Reports a prompt that was dispatched to a replica, if it is long or has prefixes to cache.
     pub fn report_prompt(&self, mut prompt: WirePrompt) {
         prompt.sender = short_digest(&self.own.name);
         if prompt.tokens < MIN_REPORTED_TOKENS && prompt.prefixes.is_empty() {
@@ -344,7 +344,8 @@
         }
     }
 
-    /// Takes in that this daemon learnt of replicas or daemons otherwise than from the one that it asks.
+    /// Restarts the transfer from the source's change log, after this daemon has learned of replicas or daemons
+    /// elsewhere.
     pub fn reset_followed_log(&self) {
         self.followed.borrow_mut().reset();
     }
@@ -355,7 +356,7 @@
         self.outbox_changed.notify_one();
     }
 
-    /// Tells those who ask this daemon that there are news.
+    /// Notifies the daemons that query this one of changes.
     pub fn announce_changes(&self) {
         self.must_announce_changes.set(true);
         self.outbox_changed.notify_one();
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams between daemons, in musli's `wire` encoding, which bears added fields.
+//! The datagrams that daemons exchange, in musli's `wire` encoding, which tolerates added fields.
 
 use musli::{Decode, Encode};
 use xxhash_rust::xxh3::xxh3_64;
@@ -9,194 +9,197 @@
 pub use super::quarantine_message::{WireRecord, WireRecordStrike, WireRecords, WireStrike};
 use crate::protocol::{ModelVersion, ReplicaIncarnation};
 
-/// The largest datagram that is sent, in bytes.
+/// The size limit of a sent datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// The largest datagram that is read, in bytes.
+/// The size of the receive buffer, in bytes.
 pub const RECEIVE_BUFFER_BYTES: usize = 2048;
 
-/// A datagram.
+/// A datagram between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Message {
-    /// Asks what is in force and what has changed.
+    /// Asks for the configuration version, weights and lease in force and for changed replicas and daemons.
     SyncQuery(SyncQuery),
-    /// Answers that.
+    /// The reply to [`Message::SyncQuery`].
     SyncReply(Box<SyncReply>),
-    /// There is something new: ask.
+    /// The sender has changes: the receiver should send its next query now.
     ChangesAvailable,
-    /// The store answers again, as a daemon of another group found after it had failed.
+    /// A daemon of another group has found that the store answers again after an outage.
     StoreRecovered,
-    /// Tells another group how a replica's loading of weights goes.
+    /// Reports the state of a replica's weight load to another group.
     LoadStatus(LoadStatus),
-    /// Prompts that the sender sent to replicas.
+    /// Prompts that the sender dispatched to replicas.
     Prompts(Vec<WirePrompt>),
-    /// The same, for the leader of the group, which tells them to all members.
+    /// Prompts that the sender dispatched, for its group's leader, which forwards them to all members.
     PromptsForLeader(Vec<WirePrompt>),
-    /// Prompts that daemons of other groups sent to replicas.
+    /// Prompts that daemons of another group dispatched to replicas.
     OtherGroupPrompts(OtherGroupPrompts),
-    /// A report that goes to every member of a group, passed on from member to member.
+    /// A report for every member of a group, forwarded from member to member.
     Spread(Spread),
-    /// Asks for all that such a store keeps.
+    /// Asks for a page of the contents of a prompt-cache store.
     CachedQuery(CachedQuery),
-    /// Answers that.
+    /// The reply to [`Message::CachedQuery`].
     CachedReply(CachedReply),
-    /// What tenants used at the sender, for the leader of its group.
+    /// Tenants' usage at the sender, for the leader of its group.
     Usage(WireUsage),
-    /// What tenants used in a group, from its leader to the leader of another one.
+    /// Tenants' usage in a group, from its leader to the leader of another group.
     GroupUsage(WireGroupUsage),
-    /// Replicas that ended while requests of the sender were open there, for the daemons that count for these.
+    /// Replicas that terminated with requests of the sender open, for the daemons that keep these requests' records.
     Strikes(Vec<WireStrike>),
-    /// Requests that ended well at the sender, by fingerprint, for the daemons that count for them.
+    /// Fingerprints of requests that completed at the sender, for the daemons that keep their records.
     Cleared(Vec<u128>),
-    /// Records of such requests: from another group, whose news the own group is to know, or for the receiver alone.
+    /// Quarantine records: from another group and to be forwarded to the own one, or for the receiver alone.
     Records(WireRecords),
-    /// Asks which configuration the receiver holds, and for pieces of it.
+    /// Asks which version of the configuration the receiver holds, and for pieces of its document.
     ConfigurationQuery(ConfigurationQuery),
-    /// Answers that.
+    /// The reply to [`Message::ConfigurationQuery`].
     ConfigurationReply(ConfigurationReply),
-    /// What replicas say of themselves, for the receiver's group.
+    /// Limits and leave notices that replicas have announced, for the receiver's group.
     Notices(Vec<WireNotice>),
-    /// The same for the receiver alone.
+    /// The same notices, for the receiver alone.
     Reminder(Vec<WireNotice>),
-    /// Asks for a permit to send a request to a replica.
+    /// Asks for a permit to send a request to a rate-limited replica.
     PermitQuery(WirePermitQuery),
-    /// Answers that.
+    /// The reply to [`Message::PermitQuery`].
     PermitReply(WirePermitReply),
 }
 
-/// A report on its way through a group, see [`super::spread`].
+/// A report that is being forwarded through a group, see [`super::spread`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Spread {
-    /// The digest of the name of the member that sent it first.
+    /// The digest of the name of the member that originated it.
     pub root: u64,
-    /// Differs from report to report, so that the members take turns in passing them on.
+    /// Differs between reports, so that the forwarding load rotates among the members.
     pub rotation: u32,
-    /// What is reported.
+    /// The content.
     pub report: Report,
 }
 
-/// What is told to every member of a group.
+/// The content of a report to every member of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Report {
-    /// Prompts that were sent to replicas.
+    /// Prompts that were dispatched to replicas.
     Prompts(Vec<WirePrompt>),
-    /// What stores of cached prompt work keep, from the leader of the group, which follows them.
+    /// Changes in the contents of prompt-cache stores, from the group's leader, which follows these stores.
     Cached(Vec<WireCached>),
-    /// What tenants used, by group.
+    /// Tenants' usage by group.
     Usage(Vec<WireGroupUsage>),
-    /// How a replica's loading of weights goes.
+    /// The state of a replica's weight load.
     LoadStatus(LoadStatus),
-    /// The store answers again.
+    /// The store answers again after an outage.
     StoreRecovered,
-    /// What is known of requests that end replicas.
+    /// Records of requests that terminate replicas.
     Records(Vec<WireRecord>),
-    /// What replicas say of themselves.
+    /// Limits and leave notices that replicas have announced.
     Notices(Vec<WireNotice>),
 }
 
-/// What one tenant used since the begin of the life that tells it, in the unit of its limit.
+/// One tenant's usage since the start of the reporting incarnation, in the unit of the tenant's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct WireTotals {
     /// The digest of the tenant's name.
     pub tenant: u64,
-    /// What its requests asked for.
+    /// The total of what its requests asked for.
     pub asked: u64,
-    /// What of that was admitted.
+    /// The admitted part of that.
     pub admitted: u64,
-    /// What had been asked for by the moment from which one counts who was not told before.
+    /// The value of [`WireTotals::asked`] from which a receiver without an earlier report counts.
     pub asked_before: u64,
-    /// What had been admitted by then.
+    /// The value of [`WireTotals::admitted`] from which such a receiver counts.
     pub admitted_before: u64,
 }
 
-/// What tenants used at one daemon; those of which this has not changed lately are left out.
+/// Tenants' usage at one daemon; tenants without recent changes are left out.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireUsage {
     /// The digest of the daemon's name.
     pub daemon: u64,
-    /// Its life.
+    /// The daemon's incarnation.
     pub incarnation: u64,
     /// The totals.
     pub totals: Vec<WireTotals>,
-    /// When they were told, in milliseconds since some moment of that life.
+    /// When the totals were sent, in milliseconds since a fixed moment of this incarnation.
     #[musli(default)]
     pub sent_ms: Option<u64>,
 }
 
-/// What tenants used in one group, as its leader has counted since it began to.
+/// Tenants' usage in one group since its leader began to count.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireGroupUsage {
     /// The name of the group, see [`super::directory::Directory::group_name`].
     pub group: String,
-    /// The life of its leader.
+    /// The incarnation of its leader.
     pub incarnation: u64,
     /// The totals.
     pub totals: Vec<WireTotals>,
     /// The digest of its leader's name.
     #[musli(default)]
     pub leader: u64,
-    /// When they were told, in milliseconds since some moment of the leader's life.
+    /// When the totals were sent, in milliseconds since a fixed moment of the leader's incarnation.
     #[musli(default)]
     pub sent_ms: Option<u64>,
 }
 
-/// A question.
+/// Asks for the receiver's state and for the changes that the sender lacks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct SyncQuery {
-    /// Returned in the answer.
+    /// Copied into the reply.
     pub nonce: u64,
-    /// The log of which the sender has the changes up to [`SyncQuery::sequence`].
+    /// The id of the change log that the sender has followed up to [`SyncQuery::sequence`].
     pub log_id: u64,
-    /// The last change that it has.
+    /// The number of the last change that the sender has.
     pub sequence: u64,
-    /// The digest of all items that it has, see [`super::change_log::ChangeLog::content_digest`].
+    /// The digest of all items that the sender has, see [`super::change_log::ChangeLog::content_digest`].
     #[musli(default)]
     pub content_digest: u64,
-    /// The digest of what is known of requests that end replicas, see [`crate::quarantine::ledger::Ledger::digest`].
+    /// The digest of the sender's records of requests that terminate replicas, see
+    /// [`crate::quarantine::ledger::Ledger::digest`].
     #[musli(default)]
     pub quarantine_digest: Option<u64>,
-    /// The latest era of the store that is known, see [`crate::store::StoreEra`].
+    /// The latest era of the store that the sender knows, see [`crate::store::StoreEra`].
     #[musli(default)]
     pub store_era: Option<u64>,
     /// The version of the configuration that the sender holds; 0 for none.
     #[musli(default)]
     pub configuration_version: u64,
-    /// Whether the sender understands [`SyncReply::packed`]. The number 7 stands for another form of it.
+    /// Whether the sender decodes [`SyncReply::packed`]. Field number 7 stood for an earlier packed format.
     #[musli(Binary, name = 8, default)]
     pub accepts_packed: bool,
 }
 
-/// An answer.
+/// The sender's state and the changes that the querying daemon lacks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct SyncReply {
-    /// The nonce of the question.
+    /// The nonce of the query.
     pub nonce: u64,
-    /// How old the proof is that [`SyncReply::configuration_version`] was the newest, in milliseconds.
+    /// How long ago a read of the store showed that [`SyncReply::configuration_version`] was the newest, in
+    /// milliseconds.
     pub proof_age_ms: Option<u64>,
-    /// How long ago somebody who reads the whole store knew all that is told here, in milliseconds.
+    /// How long ago a reader of the whole store had all the items of the sender, in milliseconds.
     pub view_age_ms: Option<u64>,
-    /// The highest revision of the store that is known of [`SyncReply::store_era`].
+    /// The highest known revision of the store in [`SyncReply::store_era`].
     pub store_revision: u64,
-    /// The version of the configuration in force.
+    /// The version of the configuration that the sender holds; 0 for none.
     pub configuration_version: u64,
     /// The wanted weights.
     pub weights: Vec<WireWeights>,
     /// The lease for orders.
     pub lease: Option<WireLease>,
-    /// The log that the changes are of.
+    /// The id of the change log of [`SyncReply::changes`].
     pub log_id: u64,
-    /// The last change that these go up to.
+    /// The number of the last change up to which this reply is complete.
     pub sequence: u64,
-    /// Whether the changes are all that there is, so that what is not among them is gone.
+    /// Whether the changes start at the beginning of the log, so that an item missing from the whole transfer is
+    /// removed.
     pub is_from_start: bool,
-    /// Whether more follow.
+    /// Whether more changes follow.
     pub has_more: bool,
-    /// Changes, in order.
+    /// The changes, in order.
     pub changes: Vec<Change>,
-    /// Whether the asking daemon has all items of this log already, as its digest shows.
+    /// Whether the querying daemon already has all items of this log, judging by its digest.
     #[musli(default)]
     pub has_same_items: bool,
-    /// How long ago the store was last known to be down for all, in milliseconds.
+    /// How long ago the store was last known to be down for all daemons, in milliseconds.
     #[musli(default)]
     pub store_down_age_ms: Option<u64>,
     /// As [`SyncQuery::quarantine_digest`].
@@ -205,35 +208,36 @@
     /// As [`SyncQuery::store_era`].
     #[musli(default)]
     pub store_era: Option<u64>,
-    /// The revision, of [`SyncReply::store_era`], that the read told which began [`SyncReply::proof_age_ms`] ago. The highest one that
-    /// is known says nothing of that moment.
+    /// The revision, in [`SyncReply::store_era`], returned by the read that started [`SyncReply::proof_age_ms`] ago.
+    /// The highest known revision may be later than that read.
     #[musli(default)]
     pub proof_revision: Option<u64>,
-    /// The highest token of a lease that is known; 0 for none.
+    /// The highest known fencing token of a lease; 0 for none.
     #[musli(default)]
     pub highest_token: u64,
-    /// Replicas that belong to [`SyncReply::changes`], where the question said that these are understood. The number 18 stands
-    /// for another form of them.
+    /// Replicas that belong to [`SyncReply::changes`], if the query accepts packed ones. Field number 18 stood for an
+    /// earlier packed format.
     #[musli(Binary, name = 19, default)]
     pub packed: Option<Box<PackedReplicas>>,
-    /// Weights that may have been named, see [`crate::suspected_weights`].
+    /// Weights that may be wanted, see [`crate::suspected_weights`].
     #[musli(Binary, name = 20, default)]
     pub suspected_weights: Vec<WireWeights>,
-    /// The log of the daemon whose reads of the store [`SyncReply::view_age_ms`] counts from; none where it is not known.
+    /// The log id of the daemon whose read of the store [`SyncReply::view_age_ms`] is counted from; none if it is
+    /// unknown.
     #[musli(Binary, name = 21, default)]
     pub view_reader_log: Option<u64>,
 }
 
-/// Wanted weights.
+/// A wanted version of a model's weights.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireWeights {
     /// The model.
     pub model: String,
     /// The version.
     pub version: u64,
-    /// For how long they have been wanted, in milliseconds.
+    /// How long the version has been wanted, in milliseconds.
     pub age_ms: u64,
-    /// Whether that is assumed, since nobody knows when they were named.
+    /// Whether that age is assumed, because it is unknown since when the version has been wanted.
     #[musli(default)]
     pub is_assumed: bool,
 }
@@ -241,17 +245,17 @@
 /// The lease for orders.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireLease {
-    /// The revision of its object.
+    /// The revision of its object in the store.
     pub revision: u64,
-    /// The holder; empty where it was given back.
+    /// The holder; empty if the lease was released.
     pub holder: String,
-    /// The life of the holder.
+    /// The incarnation of the holder.
     pub incarnation: u64,
     /// The fencing token.
     pub token: u64,
     /// The number of renewals.
     pub renewal: u64,
-    /// The era of [`WireLease::revision`]; none where the store names none.
+    /// The era of [`WireLease::revision`]; none if the store names no era.
     #[musli(default)]
     pub era: Option<u64>,
     /// The era that its writer knew, see [`crate::protocol::LeaseRecord::era`].
@@ -259,17 +263,17 @@
     pub writer_era: Option<u64>,
 }
 
-/// One change.
+/// A change of one item.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Change {
-    /// An item is there, or has changed.
+    /// The item was added or has changed.
     Put(Item),
-    /// An item is gone.
+    /// The item was removed.
     Removed(ItemKey),
 }
 
 impl Change {
-    /// What it is about.
+    /// The key of the item.
     pub fn key(&self) -> ItemKey {
         match self {
             Self::Put(item) => item.key(),
@@ -277,7 +281,7 @@
         }
     }
 
-    /// About its size in a datagram, in bytes.
+    /// The approximate encoded size, in bytes.
     pub fn wire_size(&self) -> usize {
         const FIELDS: usize = 40;
         let of_texts = |texts: &[&String]| texts.iter().map(|text| text.len()).sum::<usize>();
@@ -302,7 +306,7 @@
     }
 }
 
-/// What an item is called.
+/// The key of an item.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Encode, Decode)]
 pub enum ItemKey {
     /// A replica, by id.
@@ -311,7 +315,7 @@
     Daemon(String),
 }
 
-/// What daemons keep of replicas and of each other.
+/// A replica or daemon that daemons know of.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Item {
     /// A replica.
@@ -321,7 +325,7 @@
 }
 
 impl Item {
-    /// Its key.
+    /// The key of the item.
     pub fn key(&self) -> ItemKey {
         match self {
             Self::Replica(replica) => ItemKey::Replica(replica.id.clone()),
@@ -329,7 +333,7 @@
         }
     }
 
-    /// A digest of all its fields; 0 where it does not encode.
+    /// A digest of all fields; 0 if the item can't be encoded.
     pub fn digest(&self) -> u64 {
         musli::wire::to_vec(self).map_or(0, |bytes| xxh3_64(&bytes))
     }
@@ -338,39 +342,39 @@
 /// A replica.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireReplica {
-    /// Its id.
+    /// The id.
     pub id: String,
-    /// Which of its lives, see [`ReplicaIncarnation::born`].
+    /// The birth time that identifies its incarnation, see [`ReplicaIncarnation::born`].
     #[musli(default)]
     pub born: Option<u64>,
-    /// Its service.
+    /// The service.
     pub service: String,
-    /// Its address.
+    /// The address for requests.
     pub address: String,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is draining.
     pub is_draining: bool,
-    /// Its weights: models with their versions.
+    /// Its loaded weights: models with their versions.
     pub models: Vec<(String, u64)>,
 }
 
 impl WirePrompt {
-    /// The life that was given the prompt.
+    /// The incarnation that received the prompt.
     pub fn incarnation(&self) -> ReplicaIncarnation {
         incarnation(&self.replica, self.born)
     }
 }
 
 impl LoadStatus {
-    /// The life that loads.
+    /// The incarnation that loads the weights.
     pub fn incarnation(&self) -> ReplicaIncarnation {
         incarnation(&self.replica, self.born)
     }
 
-    /// What it loads.
+    /// The weights that it loads.
     pub fn weights(&self) -> ModelVersion {
         ModelVersion {
             model: self.model.clone(),
@@ -379,7 +383,7 @@
     }
 }
 
-/// The life of the replica `id` that began at `born`.
+/// The incarnation of the replica `id` with the birth time `born`.
 pub(super) fn incarnation(id: &str, born: Option<u64>) -> ReplicaIncarnation {
     ReplicaIncarnation {
         id: id.to_owned(),
@@ -390,117 +394,116 @@
 /// A daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireDaemon {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its address for other daemons.
+    /// Its address for datagrams.
     pub peers: String,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// What its machine can carry: the smaller of its processor in thousandths of a core and its link in megabits
-    /// a second. Those that can carry more take the roles that others rely on.
+    /// The capacity of its machine: the smaller of its processor in thousandths of a core and its link in megabits a
+    /// second. Daemons with more capacity rank first and take the roles that others rely on.
     #[musli(default)]
     pub capacity: u32,
 }
 
-/// A prompt that a replica was given.
+/// A prompt that was dispatched to a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WirePrompt {
     /// The replica's id.
     pub replica: String,
-    /// Which of its lives, see [`ReplicaIncarnation::born`].
+    /// The birth time that identifies its incarnation, see [`ReplicaIncarnation::born`].
     #[musli(default)]
     pub born: Option<u64>,
-    /// Tokens that it probably has to read.
+    /// The estimated number of tokens that the replica has to prefill.
     pub tokens: u64,
     /// The keys of the prompt's shared prefixes, see [`crate::cache::PrefixKey`].
     pub prefixes: Vec<u64>,
-    /// A short digest of the name of the daemon that sent it, which gets its own reports back.
+    /// A short digest of the sending daemon's name, by which that daemon recognizes its own reports.
     #[musli(default)]
     pub sender: u32,
 }
 
-/// Prompts that daemons of one group sent, for another group.
+/// Prompts that daemons of one group dispatched, for another group.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct OtherGroupPrompts {
     /// The prompts.
     pub prompts: Vec<WirePrompt>,
-    /// The zone of the daemons that sent them.
+    /// The zone of that group.
     #[musli(default)]
     pub zone: String,
 }
 
-/// News of one store of cached prompt work, see [`crate::cache::CachedNews`].
+/// Changes in the contents of one prompt-cache store, see [`crate::cache::CachedNews`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireCached {
     /// The store's address.
     pub store: String,
-    /// The life of the store.
+    /// The incarnation of the store.
     pub epoch: u64,
-    /// Where its events go on.
+    /// The token of the next event.
     pub next: u64,
-    /// Whether the store answers.
+    /// Whether the contents are known, that is, whether the store answers.
     pub is_known: bool,
-    /// Whether all that is kept is told from here on.
+    /// Whether these are the first changes of a complete listing.
     pub is_from_start: bool,
-    /// Digests of parts with the tokens kept of them; 0 for those that are gone.
+    /// Digests of prompt parts with the number of their tokens in the store; 0 for parts that were removed.
     pub changes: Vec<(u64, u32)>,
 }
 
-/// A question for a page of what a store keeps.
+/// Asks for a page of a store's contents.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct CachedQuery {
     /// Returned in the answer.
     pub nonce: u64,
     /// The store's address.
     pub store: String,
-    /// The digest after which the page begins; none for the first page.
+    /// The digest after which the page starts; none for the first page.
     pub after: Option<u64>,
 }
 
-/// A page of what a store keeps; one that is not full is the last.
+/// A page of a store's contents; a page that is not full is the last one.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct CachedReply {
-    /// The nonce of the question.
+    /// The nonce of the query.
     pub nonce: u64,
-    /// The life of the store.
+    /// The incarnation of the store.
     pub epoch: u64,
-    /// Where its events go on.
+    /// The token of the next event.
     pub next: u64,
-    /// Whether anything is known of the store.
+    /// Whether the sender knows the store's contents.
     pub is_known: bool,
-    /// Digests of parts with the tokens kept of them, in the order of the digests.
+    /// Digests of prompt parts with the number of their tokens in the store, ordered by digest.
     pub changes: Vec<(u64, u32)>,
 }
 
-/// How a replica's loading of weights goes.
+/// The state of a replica's weight load.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct LoadStatus {
     /// The replica's id.
     pub replica: String,
-    /// Which of its lives, see [`ReplicaIncarnation::born`].
+    /// The birth time that identifies its incarnation, see [`ReplicaIncarnation::born`].
     #[musli(default)]
     pub born: Option<u64>,
     /// The model.
     pub model: String,
     /// The version.
     pub version: u64,
-    /// Whether it has the weights by now; else it has begun to load them.
+    /// Whether the load has completed; otherwise it has started.
     pub is_done: bool,
     /// Whether the load has failed.
     pub has_failed: bool,
-    /// Whether the replica refused the version, as one that was not named.
+    /// Whether the replica refused the version because nobody had named it.
     #[musli(default)]
     pub is_refused: bool,
 }
 
 impl Message {
-    /// The datagram's bytes; nothing where it can't be encoded, which no message is known to do: it is then lost like any
-    /// other datagram.
+    /// Encodes the datagram. No known message fails to encode; one that did would be lost like any other datagram.
     pub fn encode(&self) -> Option<Vec<u8>> {
         musli::wire::to_vec(self).ok()
     }
 
-    /// Reads a datagram; nothing where it does not decode.
+    /// Decodes a datagram.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         musli::wire::decode(bytes).ok()
     }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,31 +1,32 @@
-//! What daemons tell each other, so that few of them read the store.
+//! How daemons synchronize with each other, so that few of them read the store.
 //!
-//! In each group of daemons the one of the lowest rank reads the store: it is the group's *reader*. The
-//! others ask it twice a second what is in force, how old its proof of that is, and what has changed. A
-//! daemon whose source is silent or knows nothing recent asks the next in rank, and reads the store itself
-//! once no other is left before it. So nobody is elected, and a daemon that the store refuses is served by
-//! the others.
+//! In each group of daemons the first in rank reads the store: it is the group's *reader*. The others query it twice a
+//! second for what is in force, for the age of its proof of that, and for what has changed. A daemon whose source
+//! doesn't answer or has no recent view queries the next in rank, and reads the store itself once nobody is left ahead
+//! of it. No election takes place, and a daemon that the store refuses is served by the others.
 //!
-//! A proof passed on is counted from the moment at which the question was *sent*: a datagram that lay in
-//! a queue, or a process that was frozen, can only make it look older than it is.
+//! The age of a relayed proof is counted from the moment at which the query was *sent*: time in a queue or in a
+//! suspended process can only make the proof look older than it is.
 //!
 //! - [`message`]: the datagrams.
-//! - [`change_log`]: replicas and daemons in the order in which they changed, so that only news are sent.
-//! - [`packed`]: replicas as they fill a page of changes; [`bit_rows`]: how their rows are packed;
-//!   [`packed_pages`]: pages for all who ask.
-//! - [`followed_log`]: where a daemon stands in the log of the one that it asks.
-//! - [`directory`]: the daemons known, by rank; [`relays`]: whom to send to in other groups.
-//! - [`spread`]: passes reports on from member to member.
-//! - [`source`]: whom to ask.
-//! - [`view`]: how recent all that is.
-//! - [`known`]: what is known through peers.
-//! - [`far`]: which prompts other groups sent where.
-//! - [`cached`]: what stores of cached prompt work keep.
-//! - `configuration`: takes the configuration from another daemon where the store has lost it, and asks others at the start
-//!   which version they hold; [`configuration_message`]: its datagrams; [`configuration_pieces`]: puts it together.
-//! - `notices`: what replicas say of themselves; `permits`: permits to send to those with limits; `notice_message`: their datagrams.
-//! - `records`: requests that end replicas; `quarantine_message`: its datagrams.
-//! - [`task`]: does it all for ever: `ask` asks the source, `answer` answers others, `news` tells unasked.
+//! - [`change_log`]: replicas and daemons in the order of their changes, so that only changes are sent.
+//! - [`packed`]: the compact form of replicas in a page of changes; [`bit_rows`]: the packing of its rows;
+//!   [`packed_pages`]: a cache of packed pages.
+//! - [`followed_log`]: a daemon's position in the change log of its source.
+//! - [`directory`]: the known daemons by rank; [`relays`]: the receivers in other groups.
+//! - [`spread`]: forwards reports from member to member.
+//! - [`source`]: chooses the daemon to query.
+//! - [`view`]: how recent the known state is.
+//! - [`known`]: the state shared by the tasks of this module.
+//! - [`prompt_relay`]: reports dispatched prompts between groups.
+//! - [`cached`]: the contents of prompt-cache stores.
+//! - `configuration`: transfers the configuration from another daemon if the store has lost it, and asks others at the
+//!   start which version they hold; [`configuration_message`]: its datagrams; [`configuration_pieces`]: assembles the
+//!   document.
+//! - `notices`: limits and leave notices of replicas; `permits`: permits to send to replicas with limits;
+//!   `notice_message`: their datagrams.
+//! - `records`: requests that terminate replicas; `quarantine_message`: its datagrams.
+//! - [`task`]: starts all tasks: `ask` queries the source, `answer` replies to others, `news` sends changes unasked.
 
 mod answer;
 mod ask;
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -1,4 +1,4 @@
-//! Tells other daemons of news without being asked.
+//! Sends changes to other daemons without a query.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,18 +12,18 @@
 use super::spread::spread;
 use crate::state::GatewayState;
 
-/// For how long a daemon that asked is told of news.
+/// How long after its last query a daemon is notified of changes.
 const FOLLOWER_RETENTION: Duration = Duration::from_millis(1600);
 
-/// How long news are gathered before others are told.
+/// How long changes are batched.
 const BATCH_DELAY: Duration = Duration::from_millis(15);
 
-/// Members of a group up to which each one sends its prompts to all others, which is the soonest. In a larger group
-/// they go through its leader: of 860 prompts a second, each of 59 members would send 170 datagrams a second and
-/// receive as many.
+/// The maximum size of a group in which each member sends its prompts to all others directly, which is fastest. In a
+/// larger group they go through its leader: at 860 prompts per second, each of 59 members would send 170 datagrams per
+/// second and receive as many.
 const MAX_DIRECT_MEMBERS: usize = 32;
 
-/// Tells followers that there are news, and all daemons how loads go, for ever.
+/// Notifies followers of changes, and reports weight loads, prompts and a recovered store, in an endless loop.
 pub(super) async fn send_news(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
         state.peers.outbox_changed.notified().await;
@@ -52,7 +52,7 @@
     followers.keys().copied().collect()
 }
 
-/// Tells the group of this daemon's own prompts: directly where it is small, else through its leader.
+/// Reports this daemon's own prompts to the group: directly if it is small, otherwise through its leader.
 async fn send_prompts(state: &GatewayState, socket: &tokio::net::UdpSocket) {
     let prompts = std::mem::take(&mut *state.peers.prompts.borrow_mut());
     if prompts.is_empty() {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Sends a message to one daemon of each other group, which passes it on.
+/// Sends a message to one daemon of each other group, which forwards it.
 pub(super) async fn send_to_other_groups(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
--- a/crates/gateway/src/peers/notice_message.rs
+++ b/crates/gateway/src/peers/notice_message.rs
@@ -1,64 +1,65 @@
-//! The datagrams about what replicas say of themselves, and about permits.
+//! The datagrams about limits and leave notices of replicas, and about permits.
 
 use musli::{Decode, Encode};
 
 use super::message::incarnation;
 use crate::protocol::ReplicaIncarnation;
 
-/// What one life of a replica says of itself.
+/// What one incarnation of a replica has announced about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireNotice {
     /// The replica's id.
     pub replica: String,
-    /// Which of its lives, see [`ReplicaIncarnation::born`].
+    /// The birth time that identifies the incarnation, see [`ReplicaIncarnation::born`].
     #[musli(default)]
     pub born: Option<u64>,
-    /// Its limit; none where nothing is known of one.
+    /// Its rate limit; none if no announcement is known.
     #[musli(default)]
     pub limit: Option<WireLimit>,
-    /// Whether it is leaving.
+    /// Whether it has announced that it is leaving.
     #[musli(default)]
     pub is_leaving: bool,
 }
 
 impl WireNotice {
-    /// The life that says it.
+    /// The incarnation that announced it.
     pub fn incarnation(&self) -> ReplicaIncarnation {
         incarnation(&self.replica, self.born)
     }
 }
 
-/// See [`crate::notices::LimitNotice`].
+/// A rate limit, see [`crate::notices::LimitNotice`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct WireLimit {
-    /// The limit in thousandths of a request a second; none where it has ended.
+    /// The limit in thousandths of a request per second; none if the limit was lifted.
     pub thousandths: Option<u64>,
-    /// How long ago the request was sent, in milliseconds.
+    /// How long ago the request was sent whose answer announced the limit, in milliseconds.
     pub sent_age_ms: u64,
-    /// How long ago its answer came, in milliseconds.
+    /// How long ago that answer arrived, in milliseconds.
     pub heard_age_ms: u64,
 }
 
-/// Asks for a permit.
+/// Asks for a permit to send a request to a rate-limited replica.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WirePermitQuery {
-    /// Returned in the answer.
+    /// Copied into the reply.
     pub nonce: u64,
-    /// The digest of the replica's life.
+    /// The digest of the replica's incarnation.
     pub incarnation: u64,
-    /// Its limit in thousandths of a request a second, as the asking daemon knows it; none asks only whether the receiver is there.
+    /// The replica's limit in thousandths of a request per second, as the sender knows it; none only probes whether the
+    /// receiver responds.
     pub limit_thousandths: Option<u64>,
 }
 
-/// Answers that.
+/// The reply to [`WirePermitQuery`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WirePermitReply {
-    /// The nonce of the question.
+    /// The nonce of the query.
     pub nonce: u64,
-    /// The digest of the answering daemon's name.
+    /// The digest of the replying daemon's name.
     pub daemon: u64,
     /// Whether a request may be sent now.
     pub is_granted: bool,
-    /// Else after how many milliseconds it is worth asking again.
+    /// If not, after how many milliseconds to ask again.
     pub wait_ms: u64,
 }
--- a/crates/gateway/src/peers/notices.rs
+++ b/crates/gateway/src/peers/notices.rs
@@ -1,5 +1,5 @@
-//! Tells what replicas say of themselves ([`crate::notices`]) to all daemons: a daemon that has sent a replica no request yet
-//! learns of its limit before it does.
+//! Distributes the limits and leave notices of replicas ([`crate::notices`]) to all daemons, so that a daemon knows a
+//! replica's limit before it sends the first request there.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,19 +18,19 @@
 use crate::replicas::Replica;
 use crate::state::GatewayState;
 
-/// How long notices are gathered: replicas that are in need are so together.
+/// How long notices are batched: overloaded replicas tend to announce limits at the same time.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// The time between two reminders of one daemon: a lost datagram costs one request of each daemon that missed it.
+/// The time between two reminders to the same daemon: a lost datagram costs one request of each daemon that missed it.
 const REMINDER_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Replicas of which one reminder tells, others at each turn.
+/// The number of replicas in a reminder, a different selection each time.
 const MAX_REMINDER_NOTICES: usize = 36;
 
-/// Notices of one datagram, which so stays below 1,200 bytes: each takes up to 80 of them.
+/// The number of notices in a datagram, which keeps it below 1,200 bytes: each takes up to 80 of them.
 const MAX_NOTICES: usize = 12;
 
-/// Tells what is new, for ever.
+/// Sends new notices in an endless loop.
 pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
         let changed = state.changed_notices.changed.notified();
@@ -58,8 +58,8 @@
     state.notice_survey.replicas(&state.registry, metrics)
 }
 
-/// Tells a daemon that has asked a question what is known, at once where it is new and then every few seconds: it may have
-/// just started, and datagrams are lost.
+/// Sends the known notices to a querying daemon, at once for a new one and then every few seconds: it may have just
+/// started, and datagrams get lost.
 pub(super) async fn remind(state: &GatewayState, socket: &tokio::net::UdpSocket, to: SocketAddr) {
     let surveyed = survey(state);
     if surveyed.is_empty() || !is_due(state, to) {
@@ -100,7 +100,7 @@
         born: replica.incarnation.born,
         limit: replica.notices.limit_notice().map(|notice| WireLimit {
             thousandths: notice.rate.map(RequestRate::thousandths),
-            // Rounded up: a notice may look older than it is, never newer.
+            // Rounded up: a notice may appear older than it is, never newer.
             sent_age_ms: age_ms(notice.sent_at).saturating_add(1),
             heard_age_ms: age_ms(notice.received_at),
         }),
@@ -108,7 +108,7 @@
     }
 }
 
-/// Takes in what others were told by replicas.
+/// Applies notices that other daemons got from replicas.
 pub(super) fn apply(state: &GatewayState, notices: &[WireNotice]) {
     let now = Instant::now();
     let ago = |age_ms: u64| {
--- a/crates/gateway/src/peers/packed.rs
+++ b/crates/gateway/src/peers/packed.rs
@@ -1,8 +1,8 @@
-//! Replicas as they fill a page of changes: what they have in common is told once.
+//! A compact form of the replicas in a page of changes, in which common properties are stored once.
 //!
-//! After all daemons of a large group were killed its reader tells each of them of all replicas over one link and one
-//! processor, and nothing is served before: 3,300 replicas take 311 kB as they are. Daemons of an earlier version don't
-//! ask for it ([`super::message::SyncQuery::accepts_packed`]) and are told as before.
+//! After all daemons of a large group were killed, its reader sends all replicas to each member over one link with one
+//! processor, and nothing is served before: the plain form of 3,300 replicas takes 311 kB. Daemons of an earlier
+//! version don't request the packed form ([`super::message::SyncQuery::accepts_packed`]) and get the plain one.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -12,40 +12,41 @@
 use super::bit_rows::{BitRows, MAX_ROWS, add_differences, packed_bytes};
 use super::message::{Change, Item, SyncReply, WireReplica};
 
-/// The bytes of an address: four of the machine and two of the port, the high ones first.
+/// The size of an address: four bytes of the IP address and two of the port, in network byte order.
 const ADDRESS_BYTES: usize = 6;
 
-/// The bytes of a birth.
+/// The size of a birth time.
 const BIRTH_BYTES: usize = 8;
 
-/// What a table takes beside its rows: marks and lengths of its fields.
+/// The size of a table without its rows: the tags and lengths of its fields.
 const TABLE_BYTES: usize = 24;
 
-/// What many replicas have in common; texts are places in [`PackedReplicas::texts`].
+/// Properties that many replicas share; strings are indexes into [`PackedReplicas::texts`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ReplicaKind {
     /// Their service.
     pub service: u8,
     /// Their zone.
     pub zone: u8,
-    /// Requests that each works on at once.
+    /// The number of requests that each processes concurrently.
     pub slots: u32,
-    /// Whether they are leaving.
+    /// Whether they are draining.
     pub is_draining: bool,
-    /// Their weights: models with their versions.
+    /// Their loaded weights: models with their versions.
     pub models: Vec<(u8, u64)>,
 }
 
-/// Replicas whose rows are equally long. A row is the place of the kind, the address, the birth where there is one, the id.
+/// Replicas with rows of equal length. A row holds the index of the kind, the address, the birth time if there is one,
+/// and the id.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ReplicaTable {
-    /// Whether the rows have a birth.
+    /// Whether the rows have a birth time.
     pub has_birth: bool,
     /// The rows.
     pub rows: BitRows,
 }
 
-/// Replicas, in tables.
+/// Packed replicas.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct PackedReplicas {
     /// The names of services, zones and models.
@@ -57,7 +58,7 @@
 }
 
 impl PackedReplicas {
-    /// Takes replicas out of `changes`; what can't be packed stays there.
+    /// Moves the replicas out of `changes`; those that can't be packed stay there.
     pub fn take_replicas(changes: &mut Vec<Change>) -> Self {
         let mut packer = Packer::default();
         changes.retain(|change| match change {
@@ -67,12 +68,12 @@
         packer.finish()
     }
 
-    /// The text at this place.
+    /// The string at this index.
     fn text(&self, index: u8) -> Option<String> {
         self.texts.get(usize::from(index)).cloned()
     }
 
-    /// The replicas as changes. One whose row, kind or names can't be read is left out.
+    /// The replicas as changes. Replicas with an invalid row, kind or name are left out.
     pub fn changes(&self) -> impl Iterator<Item = Change> {
         self.tables.iter().flat_map(|table| {
             let rows = table.rows.rows();
@@ -107,7 +108,7 @@
     }
 }
 
-/// The rows of a table while they are gathered.
+/// A table under construction.
 #[derive(Debug, Default)]
 struct TableBuilder {
     has_birth: bool,
@@ -133,18 +134,18 @@
     }
 }
 
-/// Gathers replicas that are packed.
+/// Collects replicas into tables.
 #[derive(Debug, Default)]
 struct Packer {
     texts: Vec<String>,
     kinds: Vec<ReplicaKind>,
-    /// What texts and kinds take, in bytes.
+    /// The size of the strings and kinds, in bytes.
     names_bytes: usize,
     tables: Vec<TableBuilder>,
 }
 
 impl Packer {
-    /// Adds a replica; false where it can't be packed.
+    /// Adds a replica; false if it can't be packed.
     fn add(&mut self, replica: &WireReplica) -> bool {
         let Some(address) = packed_address(&replica.address) else {
             return false;
@@ -160,7 +161,7 @@
         true
     }
 
-    /// The table that takes this row, which is added where there is none.
+    /// The table for this row, which is created if necessary.
     fn table_for(&mut self, row: &[u8], has_birth: bool) -> &mut TableBuilder {
         let known = self
             .tables
@@ -177,7 +178,7 @@
         &mut self.tables[index]
     }
 
-    /// The place of a replica's kind, which is added where it is new; nothing where there are too many.
+    /// The index of a replica's kind, which is added if it is new; `None` if there are too many.
     fn kind_index(&mut self, replica: &WireReplica) -> Option<u8> {
         let mut models = Vec::new();
         for (model, version) in &replica.models {
@@ -197,7 +198,7 @@
         index_of(&mut self.texts, &mut self.names_bytes, text)
     }
 
-    /// About the size of all that was added, in bytes.
+    /// The approximate size of everything added, in bytes.
     fn bytes(&self) -> usize {
         let tables = self.tables.iter().map(TableBuilder::bytes);
         self.names_bytes + tables.sum::<usize>()
@@ -216,7 +217,7 @@
     }
 }
 
-/// The place of `item`, which is added where it is new, as is its size to `bytes`; nothing where there are too many.
+/// The index of `item`. A new item is added, and its size is added to `bytes`; `None` if there are too many.
 fn index_of<T>(items: &mut Vec<T>, bytes: &mut usize, item: &T) -> Option<u8>
 where
     T: PartialEq + Clone + Encode<Binary>,
@@ -231,7 +232,7 @@
 }
 
 impl SyncReply {
-    /// Puts packed replicas back among the changes.
+    /// Moves the packed replicas back into the changes.
     pub fn unpack(&mut self) {
         if let Some(packed) = self.packed.take() {
             self.changes.extend(packed.changes());
@@ -239,17 +240,17 @@
     }
 }
 
-/// Counts what fits into a page of packed changes.
+/// Tracks the size of a page of packed changes.
 #[derive(Debug)]
 pub struct PackedPageSize {
     max_bytes: usize,
-    /// The size of what is told as it is.
+    /// The size of the changes in the plain form.
     unpacked_bytes: usize,
     packer: Packer,
 }
 
 impl PackedPageSize {
-    /// An empty page of so many bytes.
+    /// An empty page with room for `bytes`.
     pub fn new(bytes: usize) -> Self {
         Self {
             max_bytes: bytes,
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Whether one more change fits, which then counts. After one that does not, none does.
+    /// Adds a change and returns whether it still fits. After one that doesn't, none does.
     pub fn fits(&mut self, change: &Change) -> bool {
         let is_packed = match change {
             Change::Put(Item::Replica(replica)) => self.packer.add(replica),
@@ -271,7 +272,7 @@
     }
 }
 
-/// The bytes of an address; nothing where it is another text than they are read back as.
+/// The bytes of an address, or `None` if they would not be converted back to the same text.
 fn packed_address(text: &str) -> Option<[u8; ADDRESS_BYTES]> {
     let address: SocketAddrV4 = text
         .parse()
@@ -282,7 +283,7 @@
     Some([a, b, c, d, high, low])
 }
 
-/// The address of these bytes.
+/// The text of an address.
 fn unpacked_address([a, b, c, d, high, low]: [u8; ADDRESS_BYTES]) -> String {
     let machine = Ipv4Addr::new(a, b, c, d);
     let port = u16::from_be_bytes([high, low]);
--- a/crates/gateway/src/peers/packed_pages.rs
+++ b/crates/gateway/src/peers/packed_pages.rs
@@ -1,7 +1,7 @@
-//! Pages of changes as they are told packed, each gathered once for all who ask for it.
+//! A cache of packed pages of changes, each built once for all daemons that query it.
 //!
-//! After all daemons of a large group were killed each member asks for the same pages: gathered for each of them anew they
-//! would take the reader's processor longer than its link.
+//! After all daemons of a large group were killed, each member queries the same pages: building them for each member
+//! would keep the reader's processor busy for longer than its link.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,22 +10,22 @@
 use super::message::{MAX_DATAGRAM_BYTES, SyncQuery};
 use super::packed::{PackedPageSize, PackedReplicas};
 
-/// The size of a page of changes, in bytes, beside the rest of an answer.
+/// The space for a page of changes in a datagram, in bytes; the remaining bytes are for the rest of the reply.
 pub(super) const PAGE_BYTES: usize = MAX_DATAGRAM_BYTES - 350;
 
-/// Pages that are kept, about 1 kB each; a transfer of 10,000 replicas takes some 200.
+/// The maximum number of cached pages, about 1 kB each; a transfer of 10,000 replicas takes about 200.
 const MAX_PAGES: usize = 256;
 
 /// A page of changes, packed.
 #[derive(Debug)]
 pub struct PackedPage {
-    /// The page, with those changes only that can't be packed.
+    /// The page with only the changes that can't be packed.
     pub page: LogPage,
-    /// The others.
+    /// The packed replicas.
     pub packed: PackedReplicas,
 }
 
-/// The pages of the last state of a log that were asked for.
+/// The queried pages of the latest state of a log.
 #[derive(Debug, Default)]
 pub struct PackedPages {
     log_id: u64,
@@ -34,7 +34,7 @@
 }
 
 impl PackedPages {
-    /// The page of `log` that answers the question; nothing where the asking daemon has every item already.
+    /// The page of `log` for the query, or `None` if the querying daemon already has every item.
     pub fn page(&mut self, log: &ChangeLog, query: &SyncQuery) -> Option<Rc<PackedPage>> {
         let after = log.sequence_known_to(query)?;
         if (self.log_id, self.sequence) != (log.id(), log.sequence()) {
--- a/crates/gateway/src/peers/permits.rs
+++ b/crates/gateway/src/peers/permits.rs
@@ -1,4 +1,4 @@
-//! Asks for permits, and answers who asks ([`crate::permits`]).
+//! Sends permit queries, and replies to those of others ([`crate::permits`]).
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use crate::protocol::RequestRate;
 use crate::state::GatewayState;
 
-/// Sends questions, for ever.
+/// Sends permit queries in an endless loop.
 pub(super) async fn send_queries(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     let questions = &state.permits.queries;
     loop {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Answers a question.
+/// Replies to a permit query.
 pub(super) async fn answer(
     state: &Rc<GatewayState>,
     socket: &tokio::net::UdpSocket,
@@ -45,7 +45,7 @@
     send_to(socket, &Message::PermitReply(told), from).await;
 }
 
-/// Takes in an answer.
+/// Applies a reply.
 pub(super) fn apply(state: &GatewayState, told: WirePermitReply) {
     state.permits.record_answer(told.daemon);
     state.permits.queries.answer(told);
--- a/crates/gateway/src/peers/prompt_relay.rs
+++ b/crates/gateway/src/peers/prompt_relay.rs
@@ -1,8 +1,8 @@
-//! Reports prompts between groups of daemons.
+//! Reports dispatched prompts between groups of daemons.
 //!
-//! Every daemon tells its group of its prompts. Between groups that would be too many datagrams, so the leader of
-//! each group is its relay: it sends the prompts of its group in batches to the relays of the other groups, which
-//! pass them on to their members. A lost batch costs a prompt that is read again, nothing else.
+//! Every daemon reports its prompts to its group. Between groups that would take too many datagrams, so the leader of
+//! each group acts as its relay: it sends the prompts of its group in batches to the relays of the other groups, which
+//! forward them to their members. The only cost of a lost batch is that prompts are prefilled again.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,14 +16,14 @@
 use super::spread::spread;
 use crate::state::GatewayState;
 
-/// How long prompts are gathered into a batch. They also show how busy replicas are, so this is short against
-/// the 600 ms in which a prompt should be read (a grown deployment, one play: worth 0.5745, with 100 ms 0.5639).
+/// How long prompts are batched. They also show the load of replicas, so this is short compared with the 600 ms within
+/// which a prompt should be prefilled (one simulation of a grown deployment: worth 0.5745, with 100 ms 0.5639).
 const BATCH_DELAY: Duration = Duration::from_millis(40);
 
-/// Datagrams of one batch; more prompts are dropped. 108 prompts in 40 ms are 2,700 a second.
+/// The number of datagrams in a batch; further prompts are dropped. 108 prompts in 40 ms are 2,700 per second.
 const MAX_DATAGRAMS: usize = 6;
 
-/// The batches of a relay.
+/// The pending batches of a relay.
 #[derive(Debug, Default)]
 pub struct PromptRelay {
     is_relay: Cell<bool>,
@@ -35,7 +35,7 @@
     incoming: RefCell<Vec<WirePrompt>>,
 }
 
-/// Prompts that were gathered.
+/// A batch of prompts.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Batch {
     /// For the other groups.
@@ -45,12 +45,12 @@
 }
 
 impl PromptRelay {
-    /// Takes in whether this daemon is the relay of its group.
+    /// Records whether this daemon is the relay of its group.
     pub fn set_relay(&self, is_relay: bool) {
         self.is_relay.set(is_relay);
     }
 
-    /// Adds a prompt of the own group to the next batch, where this daemon is the relay.
+    /// Adds a prompt of the own group to the next batch, if this daemon is the relay.
     pub fn gather(&self, prompt: &WirePrompt) {
         if self.is_relay.get() && prompt.tokens >= MIN_REPORTED_TOKENS {
             self.push(&self.outgoing, prompt);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The next batch, once prompts have come and more had time to.
+    /// Waits for a prompt, then for [`BATCH_DELAY`], and returns the batch.
     pub async fn next_batch(&self) -> Batch {
         self.gathered.notified().await;
         tokio::time::sleep(BATCH_DELAY).await;
@@ -83,7 +83,7 @@
     }
 }
 
-/// Sends the batches, for ever.
+/// Sends the batches in an endless loop.
 pub(super) async fn run(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
         let batch = state.peers.prompt_relay.next_batch().await;
--- a/crates/gateway/src/peers/records.rs
+++ b/crates/gateway/src/peers/records.rs
@@ -1,8 +1,8 @@
-//! Tells what is known of requests that end replicas ([`crate::quarantine`]).
+//! Exchanges records of requests that terminate replicas ([`crate::quarantine`]).
 //!
-//! Strikes go to the few daemons that count for a request; what all are to know goes through the tree of each group, and
-//! to one daemon of every other group. Who missed that learns it from the next question or answer: both bear a digest
-//! of what is known, and a daemon that finds the other's to differ sends what it knows.
+//! Strikes go to the few daemons that keep a request's record. What all daemons need goes through the tree of each
+//! group, and to one daemon of every other group. A daemon that missed it learns of it with the next query or reply:
+//! both have a digest of the known records, and a daemon whose digest differs sends its records.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,25 +20,25 @@
 use crate::state::GatewayState;
 use crate::store::{StoreEra, StorePosition};
 
-/// How long news are gathered: a replica that ends strikes some dozen requests at once.
+/// How long changes are batched: a replica that terminates strikes dozens of requests at once.
 const BATCH_DELAY: Duration = Duration::from_millis(2);
 
-/// Strikes, and fingerprints, of one datagram, which so stays below 1,200 bytes: each takes up to 60 of them.
+/// The number of strikes or fingerprints in a datagram, which keeps it below 1,200 bytes: each takes up to 60 of them.
 const MAX_STRIKES: usize = 18;
 
-/// Records of one datagram: each takes up to 560 bytes.
+/// The number of records in a datagram: each takes up to 560 bytes.
 const MAX_RECORDS: usize = 2;
 
-/// Records that are sent to one daemon which knows others; the rest follows with its next question.
+/// The number of records that are sent at once to a daemon with another digest; the rest follows after its next query.
 const MAX_RECONCILED: usize = 60;
 
-/// Tells others, for ever.
+/// Sends strikes, clearances and records in an endless loop.
 pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
         match state.quarantine.has_announcements() {
             true => {
                 let more = state.quarantine.announce_wakeup.notified();
-                // Ends early when there is more to tell.
+                // The wait ends early if there is more to send.
                 let _ = tokio::time::timeout(ANNOUNCE_INTERVAL, more).await;
             }
             false => state.quarantine.announce_wakeup.notified().await,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Sends strikes, and requests that ended well, to the daemons that count for them.
+/// Sends strikes, and the fingerprints of completed requests, to the daemons that keep the records.
 async fn send_to_homes(state: &GatewayState, socket: &tokio::net::UdpSocket, outbox: &Outbox) {
     let now = state.quarantine.now();
     let strikes = outbox.strikes.iter().map(|(fingerprint, strike)| {
@@ -83,7 +83,7 @@
     }
 }
 
-/// What goes to whom, by address; this daemon knows already.
+/// The items for each daemon, by address, without those for this daemon.
 fn by_home<T: Clone>(
     state: &GatewayState,
     items: impl Iterator<Item = (Fingerprint, T)>,
@@ -114,14 +114,14 @@
     spread(state, socket, Report::Records(records.to_vec())).await;
 }
 
-/// Sends all that is known to a daemon whose digest is another one.
+/// Sends the known records to a daemon with another digest.
 pub(super) async fn reconcile(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
     their_digest: Option<u64>,
     to: SocketAddr,
 ) {
-    // A daemon of an earlier version tells none, and knows no records.
+    // A daemon of an earlier version sends no digest, and keeps no records.
     if their_digest.is_none_or(|theirs| theirs == digest(state)) {
         return;
     }
@@ -140,7 +140,7 @@
     }
 }
 
-/// As many records as are sent to one daemon, others at each turn.
+/// The records to send at once, a different selection for each `rotation`.
 fn rotated_part(mut records: Vec<WireRecord>, rotation: u32) -> Vec<WireRecord> {
     let first = (rotation as usize * MAX_RECONCILED) % records.len().max(1);
     records.sort_by_key(|record| record.fingerprint);
@@ -149,17 +149,18 @@
     records
 }
 
-/// The digest of what is known here.
+/// The digest of the known records.
 pub(super) fn digest(state: &GatewayState) -> u64 {
     state.quarantine.read(|ledger| ledger.digest())
 }
 
-/// Takes in strikes. Those that waited for this daemon while it stood still are left out, as if lost: when their replicas ended is
-/// not known, and they would seem to have ended together. The others that count for the request know, and tell the record.
+/// Applies strikes. Strikes that were queued while this process was suspended are dropped as if lost: it is unknown
+/// when their replicas terminated, and these would seem to have terminated together. The other daemons that keep the
+/// record have them, and send the record.
 pub(super) fn apply_strikes(state: &GatewayState, strikes: &[WireStrike]) {
     if standstill::has_just_woken() {
         log::info!(
-            "{} strikes that may have waited are left out",
+            "{} strikes dropped: they may have been queued while the process was suspended",
             strikes.len()
         );
         return;
@@ -181,7 +182,7 @@
     }
 }
 
-/// Takes in that requests ended well.
+/// Clears completed requests.
 pub(super) fn apply_cleared(state: &GatewayState, cleared: &[u128]) {
     for number in cleared {
         let fingerprint = Fingerprint::from_number(*number);
@@ -189,7 +190,7 @@
     }
 }
 
-/// Takes in records; true where there was news among them.
+/// Applies records; true if any of them was new.
 pub(super) fn apply_records(state: &GatewayState, records: &[WireRecord]) -> bool {
     let now = state.quarantine.now();
     let directory = state.peers.directory();
@@ -264,7 +265,7 @@
     }
 }
 
-/// Where the store keeps a record, as another daemon tells.
+/// The store position of a record according to another daemon.
 fn stored_position(told: &WireRecord) -> Option<StorePosition> {
     let position = StorePosition {
         era: StoreEra::from_number(told.stored_era),
@@ -286,7 +287,7 @@
     Some(age_ms(strike.at, began_at))
 }
 
-/// When a request began to run at a replica that ended so long ago.
+/// When a request started at a replica that terminated `age_ms` ago.
 fn began_at(now: Duration, age_ms: u64, ran_ms: Option<u64>) -> Option<Duration> {
     let ran = Duration::from_millis(ran_ms?);
     Some(moment(now, age_ms).saturating_sub(ran))
--- a/crates/gateway/src/peers/send.rs
+++ b/crates/gateway/src/peers/send.rs
@@ -18,7 +18,7 @@
     send_to_all(socket, message, others.map(|daemon| daemon.peers.as_str())).await;
 }
 
-/// Sends to several addresses as daemons tell them; the datagram is encoded once.
+/// Sends to several addresses in text form; the datagram is encoded once.
 pub(super) async fn send_to_all<'a>(
     socket: &tokio::net::UdpSocket,
     message: &Message,
@@ -32,28 +32,28 @@
     }
 }
 
-/// Sends to an address as daemons tell it.
+/// Sends to an address in text form.
 pub(super) async fn send(socket: &tokio::net::UdpSocket, message: &Message, to: &str) {
     if let Some(bytes) = message.encode() {
         send_bytes(socket, &bytes, to).await;
     }
 }
 
-/// Sends to the sender of a datagram.
+/// Sends to a socket address.
 pub(super) async fn send_to(socket: &tokio::net::UdpSocket, message: &Message, to: SocketAddr) {
     if let Some(bytes) = message.encode() {
         send_datagram(socket, &bytes, to).await;
     }
 }
 
-/// Sends a datagram as it is to an address as daemons tell it.
+/// Sends an encoded datagram to an address in text form.
 pub(super) async fn send_bytes(socket: &tokio::net::UdpSocket, bytes: &[u8], to: &str) {
     if let Ok(to) = to.parse() {
         send_datagram(socket, bytes, to).await;
     }
 }
 
-/// A datagram that can't be sent is lost like any other: the next question makes up for it.
+/// Sends a datagram. If that fails, it is lost like any other datagram: the next query compensates for it.
 async fn send_datagram(socket: &tokio::net::UdpSocket, bytes: &[u8], to: SocketAddr) {
     if let Err(error) = socket.send_to(bytes, to).await {
         log::debug!("datagram to {to} not sent: {error}");
--- a/crates/gateway/src/peers/source.rs
+++ b/crates/gateway/src/peers/source.rs
@@ -1,13 +1,14 @@
-//! Whom a daemon asks: the first in rank of its group that answers with something recent.
+//! Chooses the daemon to query: the first in rank of the own group that replies with a recent view.
 //!
-//! Where there are several groups, only the first few of each may read the store. While it is down for all, each of
-//! them calls it again and again, and lists all that it keeps once it is back; the other members wait for them. Where
-//! the store refuses these few, they ask the first of the other groups.
+//! If there are several groups, only the first few daemons of each may read the store. During a complete outage of the
+//! store each reader calls it again and again, and lists all its contents once it is back; the other members wait for
+//! the readers. If the store refuses these few, they query the first of the other groups.
 //!
-//! Groups are ranked like daemons, by their first. The daemon that would read the store for its group asks the first of the groups
-//! before it, so one daemon reads for all, and the calls to the store don't grow with the number of groups.
+//! Groups are ranked like daemons, by their first member. The daemon that would read the store for its group queries
+//! the first of the groups ahead of it, so one daemon reads for all, and the number of calls to the store doesn't grow
+//! with the number of groups.
 //!
-//! Reads no clock: times are durations since any fixed moment of one steady clock.
+//! This module reads no clock: times are durations since a fixed moment of a monotonic clock.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -15,62 +16,63 @@
 use super::directory::{name_digest, ranks_before};
 use super::message::WireDaemon;
 
-/// How long a source is passed over after it was silent or knew nothing recent.
+/// How long a source is skipped after it didn't reply or had no recent view.
 const SKIP_PERIOD: Duration = Duration::from_millis(2500);
 
-/// The same where it knew nothing recent and only a few may read the store, or where it knew less than this daemon:
-/// it may know more within a moment. Shorter than the time between two rounds of questions, so that each round asks it.
+/// The same if the source had no recent view and only a few daemons may read the store, or if its view was older than
+/// that of this daemon: it may have a newer one within a moment. Shorter than the time between two rounds of queries,
+/// so that each round includes it.
 const SHORT_SKIP_PERIOD: Duration = Duration::from_millis(400);
 
-/// Questions in a row without an answer after which a source is passed over.
+/// The number of consecutive queries without a reply after which a source is skipped.
 const MAX_UNANSWERED: u32 = 2;
 
-/// For how long a daemon that answers, but knows nothing yet, keeps its place among the few that may read the store: it may
-/// have just started, and lists the replicas, as long as it itself reads the store in vain before it asks others.
+/// How long a daemon that replies without having any view remains one of the few readers: it may have just started and
+/// be listing the replicas. As long as it itself reads the store without success before it queries others.
 const STARTING_TIMEOUT: Duration = STORE_READ_TIMEOUT;
 
-/// How long a daemon reads the store in vain before it asks others.
+/// How long a daemon reads the store without success before it queries others.
 const STORE_READ_TIMEOUT: Duration = Duration::from_millis(1300);
 
-/// For how long it is remembered that a source knew nothing recent.
+/// How long it is remembered that a source had no recent view.
 const STALE_RETENTION: Duration = Duration::from_millis(4000);
 
-/// Daemons that must know nothing recent before the store counts as down for all.
+/// The number of other daemons without a recent view that it takes to consider the store down for all.
 const MIN_STALE_PEERS: usize = 2;
 
-/// Daemons of a group that may read the store, where there are other groups to ask. With a third of all machines
-/// refused by the store, all four of a group are in one of 80 such outages.
+/// The number of daemons of a group that may read the store if there are other groups to query. In an outage in which
+/// the store refuses a third of all machines, the probability that it refuses all four of a group is one in 80.
 const MAX_READERS: usize = 4;
 
-/// How old what a source tells may be. A replica that is leaving may get requests for 2 s (`drainMs`), and a daemon whose
-/// source is cut off needs up to 0.4 s more to find that out where others are silent too, and a list. A source that is
-/// well proves its view each 0.9 s, or 1.4 s where each answer of the store takes 0.24 s.
+/// The maximum age of a source's view. A draining replica may get requests for 2 s (`drainMs`); a daemon whose source
+/// is cut off needs up to 0.4 s more to find that out if others don't reply either, and the time for a list. A working
+/// source proves its view every 0.9 s, or every 1.4 s if each answer of the store takes 0.24 s.
 const MAX_VIEW_AGE: Duration = Duration::from_millis(1400);
 
-/// The same where only a few may read the store: the others learn of a reader that is cut off one round of questions
-/// later than the next reader does, and a replica that is leaving may get requests for 3 s.
+/// The same if only a few daemons may read the store: the others learn one round of queries later than the next reader
+/// that a reader is cut off, and a draining replica may get requests for 3 s.
 const MAX_VIEW_AGE_WITH_GROUPS: Duration = Duration::from_millis(1700);
 
-/// The age of the own view from which on the store may be down for all. By then daemons that asked this one have read
-/// the store themselves where it is there for them; before, they know no more than this one has told them.
+/// The age of the own view from which the store may be considered down for all. By then the daemons that queried this
+/// one have read the store themselves, if it answers them; before, they only know what they learned from this one.
 const MIN_OUTAGE_VIEW_AGE: Duration = Duration::from_millis(2500);
 
-/// For how long a daemon reads the store that had to turn to it since its view had become too old. As it begins it lists everything;
-/// whom it would follow is in trouble, and it would have to list all again. A read each 0.9 s for so long costs as much as
-/// a list of six kinds.
+/// The minimum time for which a daemon reads the store after its view had become too old. When it starts reading it
+/// lists everything; the source that it could follow has trouble, and it would soon have to list everything again.
+/// Reading every 0.9 s for this time costs as much as listing six kinds of objects.
 const MIN_READING_TIME: Duration = Duration::from_secs(5);
 
-/// Where a daemon learns what is in force.
+/// Where a daemon learns the state in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
-    /// It reads the store itself.
+    /// The daemon reads the store itself.
     Store,
-    /// It asks this daemon.
+    /// The daemon queries this other daemon.
     Daemon(WireDaemon),
 }
 
 impl Source {
-    /// The address of the daemon that is asked.
+    /// The address of the queried daemon.
     pub fn address(&self) -> Option<String> {
         match self {
             Self::Store => None,
@@ -79,23 +81,23 @@
     }
 }
 
-/// The choice of the source.
+/// Chooses the source from the outcomes of earlier queries.
 #[derive(Debug, Default)]
 pub struct SourceChooser {
-    /// Those that were silent when they were asked last.
+    /// Daemons that did not reply when they were last queried.
     silent: HashSet<String>,
     skipped_until: HashMap<String, Duration>,
     unanswered_count: u32,
     current: Option<String>,
     stale_at: HashMap<String, Duration>,
-    /// Since when those that answered last that they know nothing yet have answered so.
+    /// Since when a daemon has replied that it has no view yet.
     starting_since: HashMap<String, Duration>,
     store_failed_at: Option<Duration>,
     is_last_resort: bool,
     is_store_next: bool,
-    /// Until when this daemon reads the store, whoever else may be asked.
+    /// Until when this daemon reads the store, even if another daemon could be queried.
     reads_store_until: Duration,
-    /// Those who could be asked, when the source was chosen last.
+    /// The other daemons that could be queried when the source was last chosen.
     other_candidates: Vec<String>,
     may_read: bool,
     has_other_groups: bool,
@@ -103,7 +105,7 @@
 }
 
 impl SourceChooser {
-    /// The first in rank that is not passed over at `now`; `own` stands for the store, and so does nobody.
+    /// The first in rank that isn't skipped at `now`; `own` stands for the store, and so does the absence of any.
     /// `other_groups` holds the first of each other group.
     pub fn choose(
         &mut self,
@@ -150,13 +152,13 @@
         source
     }
 
-    /// Takes in whether this daemon has just started, so that it is told all replicas, perhaps with all others of its group:
-    /// it then asks any of the first readers whose machines carry as much as that of the first.
+    /// Records whether this daemon has just started and needs all replicas, perhaps together with its whole group: it
+    /// then queries any of the first readers whose machines have the same capacity as the first one's.
     pub fn set_just_started(&mut self, has_just_started: bool) {
         self.has_just_started = has_just_started;
     }
 
-    /// How old what is known here may be before another source is needed.
+    /// The maximum age of the own view before another source is needed.
     pub fn max_view_age(&self) -> Duration {
         match self.has_other_groups {
             true => MAX_VIEW_AGE_WITH_GROUPS,
@@ -164,13 +166,13 @@
         }
     }
 
-    /// Takes in how old the own view is after a question that brought nothing of use. One that is too old by now is read
-    /// from the store at once, where this daemon may call it: each further one that is asked may be silent too.
+    /// Records a query without a usable reply, and the age of the own view. If that is too old by now, the store is
+    /// read next, provided that this daemon may call it: any further daemon might not reply either.
     pub fn on_unusable_reply(&mut self, own_view_age: Option<Duration>) {
         self.is_store_next = own_view_age.is_some_and(|age| age > self.max_view_age());
     }
 
-    /// Those of `group` that may read the store: the first in rank, but for those that are silent.
+    /// The daemons of `group` that may read the store: the first in rank that reply.
     fn readers<'a>(&self, group: &'a [WireDaemon], has_other_groups: bool) -> Vec<&'a WireDaemon> {
         let max = match has_other_groups {
             true => MAX_READERS,
@@ -183,8 +185,8 @@
         answering.take(max).collect()
     }
 
-    /// The first of the groups before the own one that may be asked. Nobody is while this daemon has just started: the others
-    /// may have started with it, and callers wait.
+    /// The first daemon of the groups ahead of the own one that isn't skipped; none while this daemon has just started,
+    /// because the others may have started with it and callers are waiting.
     fn earlier_reader<'a>(
         &self,
         group: &[WireDaemon],
@@ -197,23 +199,23 @@
         before.find(|other| !self.skipped_until.contains_key(&other.name))
     }
 
-    /// The one of `readers`, all of which are passed over, that is so for the shortest time.
+    /// The one of `readers` whose skip period ends first, when all of them are skipped.
     fn next_retried<'a>(&self, readers: &[&'a WireDaemon]) -> Option<&'a WireDaemon> {
         let until = |daemon: &&&WireDaemon| self.skipped_until.get(&daemon.name).copied();
         readers.iter().min_by_key(until).copied()
     }
 
-    /// Whether the daemon for which a source was chosen last may call the store on its own account.
+    /// Whether this daemon may call the store on its own account, as of the last choice.
     pub fn may_read(&self) -> bool {
         self.may_read
     }
 
-    /// Whether nobody is left to be asked at once where the chosen source is of no use.
+    /// Whether no other daemon is left to query immediately if the chosen source turns out unusable.
     pub fn is_last_resort(&self) -> bool {
         self.is_last_resort
     }
 
-    /// The first in rank that was not silent when it was asked last.
+    /// The first in rank that replied when it was last queried, or has not been queried.
     pub fn leader<'a>(&self, group: &'a [WireDaemon]) -> Option<&'a WireDaemon> {
         group
             .iter()
@@ -231,7 +233,7 @@
         }
     }
 
-    /// Takes in that a question was not answered in time.
+    /// Records that a query timed out.
     pub fn on_timeout(&mut self, now: Duration) {
         self.unanswered_count += 1;
         if self.unanswered_count >= MAX_UNANSWERED {
@@ -240,10 +242,11 @@
         }
     }
 
-    /// Takes in an answer, and how old its view of the replicas and its proof of the configuration are; false where
-    /// one of them is of no use: a source that the store refuses learns of replicas from others, but can't read a
-    /// configuration that is newer than its own. One that knows nothing yet may have just started, so it is asked
-    /// again: like a silent one where everybody may read the store, else without making room for others at once.
+    /// Records a reply with the ages of its view of the replicas and of its proof of the configuration; false if one of
+    /// them is unusable: a source that the store refuses learns of replicas from others, but can't read a newer
+    /// configuration. A source without any view may have just started and is queried again: if every daemon may read
+    /// the store, the reply counts as a time-out; otherwise the source is skipped briefly, and doesn't make room for
+    /// another reader at once.
     pub fn on_reply(
         &mut self,
         now: Duration,
@@ -280,9 +283,9 @@
         }
     }
 
-    /// Takes in that the one that was asked knows nothing yet; true where it may read the store for others and
-    /// has not said so for long. Were it passed over like a silent one, each member of a large group that has started
-    /// with all others would become a reader in its turn, and their lists would fill the store's link for seconds.
+    /// Records that the queried daemon has no view yet; true if it is one of the few readers and has not said so for
+    /// long. If it were skipped like one that doesn't reply, all members of a large group that started together would
+    /// become readers one after the other, and their lists would fill the store's link for seconds.
     fn may_be_starting(&mut self, now: Duration) -> bool {
         let Some(current) = self.current.clone().filter(|_| self.has_other_groups) else {
             return false;
@@ -291,19 +294,21 @@
         now < since + STARTING_TIMEOUT
     }
 
-    /// Takes in that an answer would have led back to an older view: the next one is asked.
+    /// Records that a reply had an older view than this daemon: the next daemon is queried.
     pub fn on_older_view(&mut self, now: Duration) {
         self.skip_for(now, SHORT_SKIP_PERIOD);
     }
 
-    /// Takes in that the store fails the daemon `own`, which learns from another one meanwhile: it goes on to do so. While it tried
-    /// to read the store again its own view would become too old, and those that ask it would all read the store.
+    /// Records that the store doesn't answer the daemon `own`, which follows another daemon meanwhile and continues to
+    /// do so. While it retried the store its own view would become too old, and the daemons that query it would all
+    /// read the store.
     pub fn on_store_failing(&mut self, now: Duration, own: &str) {
         self.skipped_until.insert(own.to_owned(), now + SKIP_PERIOD);
     }
 
-    /// Takes in that an answer tells what this daemon itself has read of the store. The one that was asked can't read it: were
-    /// it followed, nobody would read the store until all views are too old, and then this daemon would list all anew.
+    /// Records that a reply relays what this daemon itself has read from the store, so the queried daemon can't read
+    /// it. If it were followed, nobody would read the store until all views were too old, and this daemon would then
+    /// have to list everything again.
     pub fn on_own_view(&mut self, now: Duration) {
         self.skip(now);
     }
@@ -314,8 +319,8 @@
         }
     }
 
-    /// Whether the store seems to be down for all: this daemon, whose view is `own_view_age` old, reads it in vain,
-    /// others that answered know nothing recent either, and nobody is left who may know more.
+    /// Whether the store seems to be down for all: this daemon, whose view is `own_view_age` old, reads it without
+    /// success, others that replied have no recent view either, and no other daemon is left that could have one.
     pub fn is_store_down_for_all(&mut self, now: Duration, own_view_age: Option<Duration>) -> bool {
         self.stale_at.retain(|_, at| now < *at + STALE_RETENTION);
         let has_store_failed = self
@@ -334,8 +339,8 @@
             && self.stale_at.len() >= MIN_STALE_PEERS
     }
 
-    /// Takes in how old the view is that `own` got from the store in the time `reading` that it has read it. Where
-    /// that is too old, the others are asked, those behind in rank too.
+    /// Records the age of the view that `own` got from the store after reading it for the time `reading`. If it is too
+    /// old, other daemons are queried, including those behind in rank.
     pub fn on_store_view(
         &mut self,
         now: Duration,
@@ -373,8 +378,9 @@
     }
 }
 
-/// `readers` in the order in which the daemon `own` asks them for all replicas: those whose machines carry as much as that
-/// of the first take turns in being the first. The processor of one gives all pages to some hundred members in a second.
+/// `readers` in the order in which the daemon `own` queries them for all replicas: the leading readers of equal
+/// capacity are rotated by the hash of its name. The processor of one reader can send all pages to about a hundred
+/// members in a second.
 fn rotated_among_equals<'a>(readers: &[&'a WireDaemon], own: &str) -> Vec<&'a WireDaemon> {
     let mut order = readers.to_vec();
     let max = readers.first().map(|first| first.capacity);
--- a/crates/gateway/src/peers/spread.rs
+++ b/crates/gateway/src/peers/spread.rs
@@ -1,8 +1,8 @@
-//! Passes reports on from member to member of a group.
+//! Forwards reports from member to member of a group.
 //!
-//! A report goes through a tree with its first sender as the root, so no member sends it to more than a few others,
-//! however many there are. The tree differs from report to report: a member that is dead keeps reports from those
-//! below it, but not the same ones each time. A report that is lost costs a prompt that is read again, or the like.
+//! A report is forwarded along a tree with its originator as the root, so no member sends it to more than a few others,
+//! however large the group is. The tree differs between reports: a dead member keeps reports from the members below it,
+//! but not always from the same ones. The cost of a lost report is small, such as a prompt that is prefilled again.
 
 use driftspring_clock::Instant;
 use std::ops::Range;
@@ -16,18 +16,18 @@
 use super::send::{send_bytes, send_to_all};
 use crate::state::GatewayState;
 
-/// Members to which one member sends a report. Two steps reach 72 members: one more wakes a third of the machines
-/// once more, fewer steps need more datagrams from one of them.
+/// The number of members to which one member forwards a report. Two hops reach 72 members: another hop would wake a
+/// third of the machines once more, and fewer hops would take more datagrams from one of them.
 const FAN_OUT: usize = 8;
 
-/// The places to which the member at `place` passes a report on, of `count` members in all; the root has place 0.
+/// The positions to which the member at `position` of `count` members forwards a report; the root has position 0.
 pub fn children(position: usize, count: usize) -> Range<usize> {
     let first = position * FAN_OUT + 1;
     first.min(count)..(first + FAN_OUT).min(count)
 }
 
-/// The addresses to which the member with the digest `own` passes on a report of the member with the digest `root`.
-/// Members that know different groups may leave some out or reach them twice.
+/// The addresses to which the member with the name digest `own` forwards a report originated by the member with the
+/// digest `root`. Members that know different groups may skip some members or reach them twice.
 pub fn receivers(directory: &Directory, root: u64, rotation: u32, own: u64) -> Vec<&str> {
     let others: Vec<_> = directory
         .group
@@ -56,7 +56,7 @@
     children(position, others.len() + 1).map(at).collect()
 }
 
-/// Begins to spread a report through the own group.
+/// Originates a report to the own group.
 pub(super) async fn spread(state: &GatewayState, socket: &tokio::net::UdpSocket, report: Report) {
     let own = name_digest(&state.peers.own().name);
     let rotation = state.peers.next_rotation();
@@ -70,7 +70,7 @@
     send_to_all(socket, &message, receivers.into_iter()).await;
 }
 
-/// Takes in a report and passes its datagram on.
+/// Forwards the datagram of a report and applies the report.
 pub(super) async fn relay(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
--- a/crates/gateway/src/peers/usage.rs
+++ b/crates/gateway/src/peers/usage.rs
@@ -1,6 +1,6 @@
-//! Tells what tenants used, where they have limits ([`crate::quota`]).
+//! Reports the usage of tenants with limits ([`crate::quota`]).
 //!
-//! Members tell the leader of their group, leaders each other and their members.
+//! Members report to the leader of their group; leaders report to each other and to their members.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,16 +14,16 @@
 use super::spread::spread;
 use crate::state::GatewayState;
 
-/// The time between two reports. In it a tenant that suddenly asks for more is admitted beyond its limit.
+/// The time between two reports. During it a tenant whose demand rises suddenly is admitted beyond its limit.
 const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The same where nothing was used: that the daemons are in touch is a report too.
+/// The same if nothing was used: such a report shows that the daemons are in touch.
 const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Totals of one datagram, which so stays below 1,200 bytes: each takes up to 50 of them.
+/// The number of totals in a datagram, which keeps it below 1,200 bytes: each takes up to 50 of them.
 const MAX_TOTALS: usize = 20;
 
-/// Tells what tenants used, for ever.
+/// Reports usage in an endless loop.
 pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     let mut told = Vec::new();
     let mut told_at = Instant::now();
@@ -65,7 +65,7 @@
     }
 }
 
-/// Sums up what the group used, and tells it to the leaders of other groups and to the members.
+/// Sums up the group's usage, and reports it to the leaders of other groups and to the members.
 async fn lead(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
@@ -95,7 +95,7 @@
     }
 }
 
-/// The parts that fit into a datagram; one without any totals says that nothing was used.
+/// The chunks that fit into a datagram; a single empty chunk reports that nothing was used.
 fn datagram_chunks(totals: &[WireTotals]) -> Vec<&[WireTotals]> {
     match totals.is_empty() {
         true => vec![totals],
@@ -103,7 +103,7 @@
     }
 }
 
-/// Shares out reports of groups among datagrams.
+/// Distributes the reports of groups among datagrams.
 fn pack(of_groups: Vec<WireGroupUsage>) -> Vec<Vec<WireGroupUsage>> {
     let mut datagrams: Vec<Vec<WireGroupUsage>> = Vec::new();
     let mut size = usize::MAX;
