--- a/crates/gateway/tests/support/quota_scene.rs
+++ b/crates/gateway/tests/support/quota_scene.rs
@@ -1,4 +1,4 @@
-//! The tenant of the simulations of limits, the bounds, and what happened.
+//! The tenant, the bounds and the outcome of limit simulations.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-/// The window of the rule.
+/// The window over which the limit is checked.
 pub const WINDOW: Duration = Duration::from_secs(8);
 
-/// What the platform tolerates on the site whose tenants these are.
+/// The tolerance of the platform at the site from which these tenants are taken.
 pub const TOLERANCE: Tolerance = Tolerance {
     overshoot: 0.1,
     slack: 110_000.0,
@@ -19,12 +19,12 @@
 /// The share of requests below the limit that may be refused.
 pub const MAX_REFUSED_SHARE: f64 = 0.005;
 
-/// What all daemons together may admit in a window of a tenant with this rate, which is its burst too.
+/// What all daemons together may admit in a window for a tenant with this rate, which is also its burst.
 pub const fn window_limit(rate: f64) -> f64 {
     (rate * WINDOW.as_secs() as f64 + rate) * (1.0 + TOLERANCE.overshoot) + TOLERANCE.slack
 }
 
-/// A tenant with this limit, in units a second.
+/// A tenant with this limit, in units per second.
 pub fn tenant(per_second: f64) -> Tenant {
     Tenant {
         name: "tenant".to_owned(),
@@ -38,25 +38,25 @@
     }
 }
 
-/// The units of one request.
+/// Draws the cost of one request, in units.
 pub fn draw_cost(random: &mut StdRng) -> f64 {
     let cost: f64 = -9_200.0 * (1.0 - random.random::<f64>()).ln();
     cost.clamp(200.0, 60_000.0)
 }
 
-/// What happened.
+/// The outcome of a simulation.
 #[derive(Default)]
 pub struct Outcome {
-    /// Time and cost of what was admitted.
+    /// Time and cost of each admitted request.
     pub admitted: Vec<(Duration, f64)>,
-    /// Requests that came.
+    /// The number of requests.
     pub asked: usize,
-    /// Those that were refused.
+    /// The number of refused requests.
     pub refused: usize,
 }
 
 impl Outcome {
-    /// The most that was admitted in a window.
+    /// The maximum that was admitted in a window.
     pub fn max_admitted_in_window(&self) -> f64 {
         let mut max_admitted: f64 = 0.0;
         let mut sum = 0.0;
