--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -34,15 +34,15 @@
     /// Records that a request has arrived on `connection`.
     pub fn record_request_start(&self, connection: &IoRef) {
         let mut by_id = self.by_id.borrow_mut();
-        let known = by_id
+        let tracked = by_id
             .entry(connection.id())
             .or_insert_with(|| CallerConnection {
                 connection: connection.clone(),
                 open_requests: 0,
             });
-        known.open_requests += 1;
+        tracked.open_requests += 1;
         if by_id.len() >= self.purge_threshold.get() {
-            by_id.retain(|_, known| !known.connection.is_closed());
+            by_id.retain(|_, tracked| !tracked.connection.is_closed());
             self.purge_threshold
                 .set((2 * by_id.len()).max(INITIAL_PURGE_SIZE));
         }
@@ -50,19 +50,19 @@
 
     /// Records that the answer to a request has ended.
     pub fn record_request_end(&self, id: Id) {
-        if let Some(known) = self.by_id.borrow_mut().get_mut(&id) {
-            known.open_requests = known.open_requests.saturating_sub(1);
+        if let Some(tracked) = self.by_id.borrow_mut().get_mut(&id) {
+            tracked.open_requests = tracked.open_requests.saturating_sub(1);
         }
     }
 
     /// Closes every connection without an open request, and returns their number.
     pub fn close_idle(&self) -> usize {
         let mut by_id = self.by_id.borrow_mut();
-        let is_idle = |known: &CallerConnection| known.open_requests == 0;
-        let idle = by_id.values().filter(|known| is_idle(known));
-        let open = idle.filter(|known| !known.connection.is_closed());
-        let closed = open.map(|known| known.connection.close()).count();
-        by_id.retain(|_, known| !is_idle(known));
+        let is_idle = |tracked: &CallerConnection| tracked.open_requests == 0;
+        let idle = by_id.values().filter(|tracked| is_idle(tracked));
+        let open = idle.filter(|tracked| !tracked.connection.is_closed());
+        let closed = open.map(|tracked| tracked.connection.close()).count();
+        by_id.retain(|_, tracked| !is_idle(tracked));
         closed
     }
 }
--- a/crates/gateway/src/notices/record.rs
+++ b/crates/gateway/src/notices/record.rs
@@ -48,16 +48,16 @@
     }
 }
 
-fn record_cooldown(replica: &Replica, time: Duration) {
+fn record_cooldown(replica: &Replica, duration: Duration) {
     let received_at = Instant::now();
     let cooldown = Cooldown {
         received_at,
-        until: received_at + time,
+        until: received_at + duration,
     };
     if replica.notices.record_cooldown(cooldown) {
         log_event!(
             gateway::REPLICA_ASKED_FOR_REST,
-            "replica={} rest={time:?}",
+            "replica={} rest={duration:?}",
             replica.id()
         );
     }
@@ -98,8 +98,8 @@
         gateway::REPLICA_LIMIT_CHANGED,
         "replica={} before={} limit={} told_by={source:?}",
         replica.id(),
-        describe(before),
-        describe(replica.notices.limit())
+        format_limit(before),
+        format_limit(replica.notices.limit())
     );
     if source == NoticeSource::Answer {
         state.changed_notices.add(replica);
@@ -117,7 +117,7 @@
     is_to_request && (is_named || !answer.is_misdirected)
 }
 
-fn describe(limit: Option<RequestRate>) -> String {
+fn format_limit(limit: Option<RequestRate>) -> String {
     limit.map_or_else(|| "none".to_owned(), |rate| rate.to_string())
 }
 
--- a/crates/gateway/src/notices/replica_notices.rs
+++ b/crates/gateway/src/notices/replica_notices.rs
@@ -46,7 +46,7 @@
     /// What the replica has reported.
     pub cause: PauseCause,
     /// When it was last reported.
-    pub said_at: Instant,
+    pub reported_at: Instant,
     /// When it ends.
     pub until: Instant,
 }
@@ -128,7 +128,7 @@
         let limit = self.limit.get()?;
         Some(Pause {
             cause: PauseCause::Limit(limit.rate?),
-            said_at: limit.received_at,
+            reported_at: limit.received_at,
             until: self.permit_retry_at.get()?,
         })
     }
@@ -137,7 +137,7 @@
         let cooldown = self.cooldown.get()?;
         Some(Pause {
             cause: PauseCause::Cooldown,
-            said_at: cooldown.received_at,
+            reported_at: cooldown.received_at,
             until: cooldown.until,
         })
     }
@@ -153,7 +153,7 @@
             gateway::REPLICA_PASSED_OVER,
             "replica={id} said={} said_ago={:?} ends_in={:?}",
             pause.cause,
-            now.saturating_duration_since(pause.said_at),
+            now.saturating_duration_since(pause.reported_at),
             pause.until.saturating_duration_since(now)
         );
     }
--- a/crates/gateway/src/permits/mod.rs
+++ b/crates/gateway/src/permits/mod.rs
@@ -54,8 +54,8 @@
 
 impl Permits {
     /// Records that a gateway has answered a query.
-    pub fn record_answer(&self, daemon: u64) {
-        self.silent.record_answer(daemon);
+    pub fn record_answer(&self, gateway: u64) {
+        self.silent.record_answer(gateway);
     }
 }
 
--- a/crates/gateway/src/permits/silence.rs
+++ b/crates/gateway/src/permits/silence.rs
@@ -22,21 +22,21 @@
 /// Queries that were sent since the last answer.
 #[derive(Debug)]
 struct Unanswered {
-    first_at: Instant,
-    last_at: Instant,
+    first_sent_at: Instant,
+    last_sent_at: Instant,
     /// Number of queries that were sent after the gateway was found silent.
     retries: u32,
 }
 
 impl Unanswered {
     fn silence(&self, now: Instant) -> Option<Duration> {
-        let silence = now.saturating_duration_since(self.first_at);
+        let silence = now.saturating_duration_since(self.first_sent_at);
         (silence >= PERMIT_ANSWER_TIMEOUT).then_some(silence)
     }
 
-    fn pause(&self) -> Duration {
-        let pause = INITIAL_BACKOFF.saturating_mul(1 << self.retries.min(5));
-        pause.min(MAX_BACKOFF)
+    fn backoff(&self) -> Duration {
+        let backoff = INITIAL_BACKOFF.saturating_mul(1 << self.retries.min(5));
+        backoff.min(MAX_BACKOFF)
     }
 }
 
@@ -48,43 +48,43 @@
 
 impl SilentIssuers {
     /// Records that a query is sent to a gateway.
-    pub fn record_query(&self, daemon: u64, now: Instant) {
+    pub fn record_query(&self, gateway: u64, now: Instant) {
         let mut unanswered = self.unanswered.borrow_mut();
-        let queries = unanswered.entry(daemon).or_insert(Unanswered {
-            first_at: now,
-            last_at: now,
+        let queries = unanswered.entry(gateway).or_insert(Unanswered {
+            first_sent_at: now,
+            last_sent_at: now,
             retries: 0,
         });
         if queries.silence(now).is_some() {
             queries.retries = queries.retries.saturating_add(1);
         }
-        queries.last_at = now;
+        queries.last_sent_at = now;
     }
 
     /// Records that a gateway has answered.
-    pub fn record_answer(&self, daemon: u64) {
-        self.unanswered.borrow_mut().remove(&daemon);
+    pub fn record_answer(&self, gateway: u64) {
+        self.unanswered.borrow_mut().remove(&gateway);
     }
 
     /// Whether a gateway is skipped, because it is silent and not due to be asked again.
-    pub fn is_silent(&self, daemon: u64, now: Instant) -> bool {
+    pub fn is_silent(&self, gateway: u64, now: Instant) -> bool {
         let unanswered = self.unanswered.borrow();
-        unanswered.get(&daemon).is_some_and(|queries| {
-            let is_paused = now < queries.last_at + queries.pause();
-            queries.silence(now).is_some() && is_paused
+        unanswered.get(&gateway).is_some_and(|queries| {
+            let is_in_backoff = now < queries.last_sent_at + queries.backoff();
+            queries.silence(now).is_some() && is_in_backoff
         })
     }
 
     /// For how long a gateway has left queries unanswered, if it is silent.
-    pub fn silent_for(&self, daemon: u64, now: Instant) -> Option<Duration> {
-        self.unanswered.borrow().get(&daemon)?.silence(now)
+    pub fn silent_for(&self, gateway: u64, now: Instant) -> Option<Duration> {
+        self.unanswered.borrow().get(&gateway)?.silence(now)
     }
 
     /// Whether a gateway is due to be probed.
-    pub fn may_probe(&self, daemon: u64, now: Instant) -> bool {
+    pub fn may_probe(&self, gateway: u64, now: Instant) -> bool {
         let unanswered = self.unanswered.borrow();
         unanswered
-            .get(&daemon)
-            .is_none_or(|queries| now >= queries.last_at + PROBE_INTERVAL)
+            .get(&gateway)
+            .is_none_or(|queries| now >= queries.last_sent_at + PROBE_INTERVAL)
     }
 }
--- a/crates/gateway/src/replicas/queue_state.rs
+++ b/crates/gateway/src/replicas/queue_state.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct RecentStarts {
     count: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
 impl RecentStarts {
@@ -32,20 +32,20 @@
     pub fn none(now: Instant) -> Self {
         Self {
             count: 0.0,
-            at: now,
+            updated_at: now,
         }
     }
 
     /// The decayed count at `now`: each start counts less the longer ago it was.
     pub fn decayed_count(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.at);
+        let age = now.saturating_duration_since(self.updated_at);
         self.count * 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
 
     /// Records that a request has started.
     pub fn record_start(&mut self, now: Instant) {
         self.count = self.decayed_count(now) + 1.0;
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
--- a/crates/gateway/src/replicas/queue_wait.rs
+++ b/crates/gateway/src/replicas/queue_wait.rs
@@ -27,7 +27,7 @@
 const SAMPLE_WEIGHT: f64 = 0.25;
 
 /// Number of mean deviations that are added to the mean to get the wait that few requests exceed.
-const DEVIATIONS: f64 = 2.0;
+const DEVIATION_FACTOR: f64 = 2.0;
 
 /// Half-life of past samples. A queue of seconds drains within seconds, and between two samples, about a second
 /// apart, no more than a fifth of the weight is lost.
@@ -38,7 +38,7 @@
 struct WaitStatistics {
     mean_s: f64,
     deviation_s: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
 impl WaitStatistics {
@@ -47,18 +47,18 @@
         Self {
             mean_s: 0.0,
             deviation_s: 0.0,
-            at: now,
+            updated_at: now,
         }
     }
 
     /// The statistics with the decay up to `now` applied.
     fn decayed(self, now: Instant) -> Self {
-        let silence = now.saturating_duration_since(self.at);
-        let left = 0.5_f64.powf(silence.as_secs_f64() / HALF_LIFE.as_secs_f64());
+        let elapsed = now.saturating_duration_since(self.updated_at);
+        let decay = 0.5_f64.powf(elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64());
         Self {
-            mean_s: self.mean_s * left,
-            deviation_s: self.deviation_s * left,
-            at: now,
+            mean_s: self.mean_s * decay,
+            deviation_s: self.deviation_s * decay,
+            updated_at: now,
         }
     }
 
@@ -68,7 +68,7 @@
         let error_s = wait.as_secs_f64() - self.mean_s;
         self.deviation_s += SAMPLE_WEIGHT * (error_s.abs() - self.deviation_s);
         self.mean_s += SAMPLE_WEIGHT * error_s;
-        self.at = now;
+        self.updated_at = now;
     }
 
     /// The wait that about half of the requests exceed.
@@ -78,7 +78,7 @@
 
     /// The wait that few requests exceed.
     fn expected(self) -> Duration {
-        Duration::from_secs_f64(self.mean_s + DEVIATIONS * self.deviation_s)
+        Duration::from_secs_f64(self.mean_s + DEVIATION_FACTOR * self.deviation_s)
     }
 }
 
@@ -110,11 +110,16 @@
         self.estimate(urgency, now, WaitStatistics::typical)
     }
 
-    fn estimate(&self, urgency: u8, now: Instant, of: fn(WaitStatistics) -> Duration) -> Duration {
+    fn estimate(
+        &self,
+        urgency: u8,
+        now: Instant,
+        statistic: fn(WaitStatistics) -> Duration,
+    ) -> Duration {
         let inner = self.inner.borrow();
         let statistics = inner.statistics.range(..=urgency);
         let statistics = statistics
-            .map(|(_, statistics)| of(statistics.decayed(now)))
+            .map(|(_, statistics)| statistic(statistics.decayed(now)))
             .max();
         let waiting = inner.waiting.range(..=urgency);
         let waiting = waiting.filter_map(|(_, sent_at)| second_oldest_age(sent_at, now));
@@ -151,7 +156,7 @@
         recent_starts.record_start(now);
     }
 
-    fn enter(&self, urgency: u8, now: Instant) -> u64 {
+    fn enqueue(&self, urgency: u8, now: Instant) -> u64 {
         let mut inner = self.inner.borrow_mut();
         inner.last_id += 1;
         let id = inner.last_id;
@@ -160,7 +165,7 @@
         id
     }
 
-    fn leave(&self, urgency: u8, id: u64) {
+    fn dequeue(&self, urgency: u8, id: u64) {
         let mut inner = self.inner.borrow_mut();
         if let Some(waiting) = inner.waiting.get_mut(&urgency) {
             waiting.remove(&id);
@@ -194,7 +199,7 @@
     pub fn begin(estimator: &Rc<QueueWaitEstimator>, urgency: u8, now: Instant) -> Self {
         let expected = estimator.expected_wait(urgency, now);
         Self {
-            id: estimator.enter(urgency, now),
+            id: estimator.enqueue(urgency, now),
             estimator: Rc::clone(estimator),
             urgency,
             sent_at: now,
@@ -252,7 +257,7 @@
 impl Drop for QueuedRequest {
     fn drop(&mut self) {
         self.end_before_start(Instant::now());
-        self.estimator.leave(self.urgency, self.id);
+        self.estimator.dequeue(self.urgency, self.id);
     }
 }
 
--- a/crates/gateway/src/replicas/registry.rs
+++ b/crates/gateway/src/replicas/registry.rs
@@ -186,17 +186,17 @@
     /// [`Registry::rebuild_index`]. Returns whether there were any.
     pub fn remove_lapsed(&self, now: Instant) -> bool {
         let mut without_entry = self.without_entry.borrow_mut();
-        let mut has_any = false;
+        let mut any_removed = false;
         without_entry.retain(|id| {
             let known = self.get(id).filter(|known| known.is_without_entry());
             let has_lapsed = known.as_ref().is_some_and(|known| known.has_lapsed(now));
             if has_lapsed {
                 self.drop_replica(id, RemovalReason::NotBack);
-                has_any = true;
+                any_removed = true;
             }
             known.is_some() && !has_lapsed
         });
-        has_any
+        any_removed
     }
 
     /// When the next replica without an entry goes out of use.
--- a/crates/gateway/src/replicas/removed_incarnations.rs
+++ b/crates/gateway/src/replicas/removed_incarnations.rs
@@ -71,20 +71,20 @@
         if self.by_id.len() >= MAX_REMOVED_INCARNATIONS && !self.by_id.contains_key(id) {
             self.evict_oldest();
         }
-        let life = RemovedIncarnation {
+        let incarnation = RemovedIncarnation {
             born,
             removed_at: now,
             era_changes,
             has_announced_leaving: false,
             held_back: None,
         };
-        self.by_id.insert(id.to_owned(), life);
+        self.by_id.insert(id.to_owned(), incarnation);
     }
 
     /// Records that the removed incarnation of this replica had announced that it is leaving.
     pub fn record_leaving(&mut self, id: &str) {
-        if let Some(life) = self.by_id.get_mut(id) {
-            life.has_announced_leaving = true;
+        if let Some(incarnation) = self.by_id.get_mut(id) {
+            incarnation.has_announced_leaving = true;
         }
     }
 
@@ -94,7 +94,7 @@
         if self
             .by_id
             .get(id)
-            .is_some_and(|life| !life.has_announced_leaving)
+            .is_some_and(|incarnation| !incarnation.has_announced_leaving)
         {
             self.by_id.remove(id);
         }
@@ -130,17 +130,17 @@
 
     /// Whether the entry of this replica is held back.
     pub fn is_held_back(&self, id: &str) -> bool {
-        let life = self.by_id.get(id);
-        life.is_some_and(|life| life.held_back.is_some())
+        let incarnation = self.by_id.get(id);
+        incarnation.is_some_and(|incarnation| incarnation.held_back.is_some())
     }
 
     /// Records that the entry of this replica was removed again, if it was held back.
     pub fn record_repeated_removal(&mut self, id: &str, era_changes: u64, now: Instant) {
         let held = self.by_id.get_mut(id);
-        if let Some(life) = held.filter(|life| life.held_back.is_some()) {
-            life.held_back = None;
-            life.removed_at = now;
-            life.era_changes = era_changes;
+        if let Some(incarnation) = held.filter(|incarnation| incarnation.held_back.is_some()) {
+            incarnation.held_back = None;
+            incarnation.removed_at = now;
+            incarnation.era_changes = era_changes;
         }
     }
 
@@ -149,20 +149,25 @@
         let held = self
             .by_id
             .iter()
-            .filter(|(_, life)| life.held_back.is_some());
+            .filter(|(_, incarnation)| incarnation.held_back.is_some());
         held.map(|(id, _)| id.clone()).collect()
     }
 
     /// Forgets the incarnations that need not be remembered any longer at `now`. Returns the entries that are
     /// no longer held back.
     pub fn release_expired(&mut self, now: Instant) -> Vec<WireReplica> {
-        let expired = self.by_id.extract_if(|_, life| life.is_expired(now));
-        let released = expired.filter_map(|(_, life)| life.held_back);
+        let expired = self
+            .by_id
+            .extract_if(|_, incarnation| incarnation.is_expired(now));
+        let released = expired.filter_map(|(_, incarnation)| incarnation.held_back);
         released.map(|held| held.entry).collect()
     }
 
     fn evict_oldest(&mut self) {
-        let oldest = self.by_id.iter().min_by_key(|(_, life)| life.removed_at);
+        let oldest = self
+            .by_id
+            .iter()
+            .min_by_key(|(_, incarnation)| incarnation.removed_at);
         if let Some(id) = oldest.map(|(id, _)| id.clone()) {
             self.by_id.remove(&id);
         }
--- a/crates/gateway/src/replicas/service_replicas.rs
+++ b/crates/gateway/src/replicas/service_replicas.rs
@@ -49,37 +49,37 @@
     }
 
     /// The replicas whose incarnations have one of these hashes, which must be sorted.
-    pub fn with_incarnations(&self, lives: &[u64]) -> Vec<Rc<Replica>> {
+    pub fn with_incarnations(&self, incarnation_hashes: &[u64]) -> Vec<Rc<Replica>> {
         let hashes = self.incarnation_hashes.iter().enumerate();
-        let known = hashes.filter(|(_, hash)| lives.binary_search(hash).is_ok());
+        let known = hashes.filter(|(_, hash)| incarnation_hashes.binary_search(hash).is_ok());
         known
             .map(|(position, _)| Rc::clone(&self.replicas[position]))
             .collect()
     }
 
     fn top_ranked(&self, key: PlacementKey) -> Vec<usize> {
-        let mut first: BinaryHeap<Reverse<(u64, usize)>> =
+        let mut top: BinaryHeap<Reverse<(u64, usize)>> =
             BinaryHeap::with_capacity(MAX_COMPARED + 1);
         for (position, id_hash) in self.id_hashes.iter().enumerate() {
             let ranked = (rendezvous_score(*id_hash, key), position);
-            let is_full = first.len() == MAX_COMPARED;
-            if is_full && first.peek().is_some_and(|last| ranked <= last.0) {
+            let is_full = top.len() == MAX_COMPARED;
+            if is_full && top.peek().is_some_and(|last| ranked <= last.0) {
                 continue;
             }
-            first.push(Reverse(ranked));
+            top.push(Reverse(ranked));
             if is_full {
-                first.pop();
+                top.pop();
             }
         }
-        first.into_iter().map(|ranked| ranked.0.1).collect()
+        top.into_iter().map(|ranked| ranked.0.1).collect()
     }
 
     /// Equally spaced positions. Ids are random, and so neighbours are as well.
     fn sample(&self, random: u64) -> Vec<usize> {
         let count = self.replicas.len();
         let compared = count.min(MAX_COMPARED);
-        let begin = random as usize % count.max(1);
-        let at = |number: usize| (begin + number * count / compared) % count;
+        let start = random as usize % count.max(1);
+        let at = |number: usize| (start + number * count / compared) % count;
         (0..compared).map(at).collect()
     }
 }
