--- a/crates/gateway/src/pipeline/attempts.rs
+++ b/crates/gateway/src/pipeline/attempts.rs
@@ -162,7 +162,7 @@
                     self.handle_lost(&choice, peer, &cause)?;
                 }
                 Err(SendError::Resting) => {
-                    self.log_attempt(&choice, "not_sent", "it rests by now");
+                    self.log_attempt(&choice, "not_sent", "it is cooling down");
                 }
                 Err(SendError::Withdrawn) => {
                     self.sends += 1;
--- a/crates/gateway/src/pipeline/dispatch.rs
+++ b/crates/gateway/src/pipeline/dispatch.rs
@@ -21,7 +21,7 @@
 use crate::upstream::{Answer, Connection, SendFailure};
 
 /// Why a request is not sent though a connection has come up.
-const WEIGHTS_TOO_OLD: &str = "its weights are too old by now";
+const WEIGHTS_TOO_OLD: &str = "its weights have become too old";
 
 /// An answer whose head has come, and the count of the work that it stands for.
 #[derive(Debug)]
@@ -31,23 +31,23 @@
     /// Counts the request at its replica for as long as the answer is open.
     pub _work: OpenRequestGuard,
     /// Its wait at the replica, as long as it has not begun.
-    waiting: Option<QueuedRequest>,
+    queued: Option<QueuedRequest>,
 }
 
 impl OpenAnswer {
     /// Whether the replica has begun to answer: of a stream an event has come, of others the head.
     pub fn has_begun(&self) -> bool {
-        self.waiting.is_none()
+        self.queued.is_none()
     }
 
     /// Takes in that it has; later calls change nothing.
     pub fn note_begun(&mut self, state: &GatewayState, context: &RequestContext, choice: &Choice) {
-        let Some(waiting) = self.waiting.take() else {
+        let Some(queued) = self.queued.take() else {
             return;
         };
         let now = Instant::now();
         let metrics = &state.status.metrics;
-        metrics.note_begun(&waiting.record_start(now));
+        metrics.note_begun(&queued.record_start(now));
         if let Some((prompt, version)) = context.prompt().zip(choice.weights_version) {
             let wanted = state.weights.borrow();
             if let Some(age) = wanted.outdated_for(&prompt.model, version, now) {
@@ -91,8 +91,8 @@
         let request =
             build_request(state, context, choice, last_event_id).map_err(SendError::Failed)?;
         let waits = &choice.replica.queue_waits;
-        let waiting = QueuedRequest::begin(waits, choice.rank, Instant::now());
-        log_sent(state, context, choice, &connection, waiting.expected());
+        let queued = QueuedRequest::begin(waits, choice.rank, Instant::now());
+        log_sent(state, context, choice, &connection, queued.expected());
         let answer = tokio::select! {
             biased;
             answer = connection.send(request) => answer,
@@ -104,7 +104,7 @@
                 return Ok(OpenAnswer {
                     answer,
                     _work: work,
-                    waiting: Some(waiting),
+                    queued: Some(queued),
                 });
             }
             Err(SendFailure::NotSent { .. }) if connection.is_reused => {}
@@ -140,7 +140,7 @@
     let is_listed = state.registry.is_current(&choice.replica.incarnation);
     match is_listed && choice.replica.is_eligible(Instant::now()) {
         true => Ok(connection),
-        false => Err(not_sent(choice, "it is leaving by now")),
+        false => Err(not_sent(choice, "it is leaving")),
     }
 }
 
