--- a/crates/gateway/src/pipeline/admission.rs
+++ b/crates/gateway/src/pipeline/admission.rs
@@ -1,20 +1,21 @@
-//! Filter: whether a request may go to a replica now, and under which rank.
+//! Filter: decides whether a request may be sent to a replica now, and with which rank.
 //!
-//! Where requests come faster than replicas work, lines grow until callers give up before their requests begin.
-//! So a request keeps its rank where it will begin within its objective. One that will be late at every replica is
-//! still of use and is sent, but behind those that can be answered in time. One that would begin at no replica before its caller
-//! gives it up is refused at once: it has not run, and the caller learns when to come back instead of waiting in
+//! If requests arrive faster than replicas process them, queues grow until callers give up before their requests begin.
+//! So a request keeps its rank if it will begin within its objective. One that will be late at every replica is still
+//! useful and is sent, but behind those that can be answered in time. One that would begin at no replica before its
+//! caller gives it up is refused at once: it has not run, and the caller learns when to retry instead of waiting in
 //! vain.
 //!
-//! That is learnt from what has begun, and comes late while lines grow. So what would wait at all replicas together for
-//! longer than the longest objective is refused at once, however short the line at the best one seems: placement sends
-//! elsewhere, and what is not yet late would become so. On days on which replicas are lost, or twice the traffic comes, 0.05 of
-//! worth more is earned and 0.04 more of it served, where as much less fails (eighteen pairs of plays on three deployments).
+//! Expected waits are learned from requests that have begun, and lag behind while queues grow. So a request that would
+//! wait for longer than the longest objective at all replicas taken together is refused at once, however short the
+//! queue at the best replica seems: placement sends requests elsewhere, and those that are not late yet would become
+//! so. On days on which replicas are lost or the traffic doubles, this earns 0.05 more of the worth and serves 0.04
+//! more of it, and as much less fails (eighteen pairs of plays on three deployments).
 //!
-//! The waits are those of [`crate::replicas::QueueWaitEstimator`]. What is refused makes lines shorter, so this
-//! regulates itself; nothing waits in the gateway. Which replica a request goes to is left to placement: sending
-//! requests away from where their prompts are kept for the sake of a shorter wait was measured, and makes the
-//! lines of all longer, since more is read again.
+//! The waits are those of [`crate::replicas::QueueWaitEstimator`]. Refusals shorten the queues, so this regulates
+//! itself; nothing is queued in the gateway. The choice of the replica is left to placement: sending requests away from
+//! the replicas that have their prompts cached for the sake of a shorter wait was measured, and lengthens all queues,
+//! since more is recomputed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,62 +28,62 @@
 use crate::replicas::{Replica, service_queue_wait};
 use crate::state::GatewayState;
 
-/// The share of a caller's patience up to which a wait is taken for one that it sits out. It is below one since
-/// a request that its caller gives up teaches no longer wait than that patience, and that fades.
+/// Share of a caller's timeout up to which it is assumed to wait. It is below one because a request that its caller
+/// gives up shows a wait of no more than that timeout, and the estimate decays.
 const USABLE_TIMEOUT_SHARE: f64 = 0.8;
 
-/// How many ranks a request is sent behind its own that will be late: beyond all ranks in use, so that late
-/// requests of an urgent kind don't go before punctual ones of another (operator's sheets: ranks 0 to 3).
+/// Number of ranks by which a request that will be late goes back: more than the ranks in use, so that late requests of
+/// an urgent kind do not go before punctual ones of another kind (operator's sheets: ranks 0 to 3).
 const LATE_RANK_OFFSET: u8 = 5;
 
 /// The last rank.
 const LAST_RANK: u8 = 9;
 
-/// Whether a request begins, or goes on after events that its caller has had.
+/// Whether a request is new or resumes a stream of which its caller has received events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// Nothing of its answer was passed on.
+    /// Nothing of its answer was forwarded.
     New,
-    /// It is a stream that broke midway.
+    /// It resumes a stream that broke off midway.
     Resumed,
 }
 
-/// Whether a request whose caller waits for `first_event_time_left` more is of use where it will wait for
-/// `typical_wait` before it begins.
+/// Whether a request is worth sending that will typically wait for `typical_wait` before it begins, if its caller waits
+/// for `first_event_time_left` more.
 pub fn is_worth_sending(typical_wait: Duration, first_event_time_left: Duration) -> bool {
     typical_wait < first_event_time_left.mul_f64(USABLE_TIMEOUT_SHARE)
 }
 
-/// Whether a request is still punctual that will wait for `expected_wait` where `objective_left` is left of the
-/// time in which its answer should begin.
+/// Whether a request that will wait for `expected_wait` begins within `objective_left`, the time left within which its
+/// answer should begin.
 pub fn is_in_time(expected_wait: Duration, objective_left: Duration) -> bool {
     expected_wait <= objective_left
 }
 
-/// Whether the lines of all replicas together are too long to send one more request, where it will wait for `together` and
-/// `objective` is the longest objective of its service's routes. Then more is sent than is worked off, and whatever is added
-/// makes what comes later late. The bound is the same for all kinds of requests, so that those with shorter objectives aren't
-/// refused for the sake of others.
+/// Whether the queues of all replicas together are too long to send one more request. `together` is its expected wait
+/// and `objective` the longest objective of its service's routes. Beyond that, more is sent than is processed, and each
+/// further request delays later ones. The bound is the same for all kinds of requests, so that those with shorter
+/// objectives are not refused for the sake of others.
 pub fn are_queues_too_long(together: Duration, objective: Option<Duration>) -> bool {
     objective.is_some_and(|objective| together > objective)
 }
 
-/// The rank of a request that will be late, behind that of those that will not.
+/// Rank of a request that will be late, behind those that will not.
 pub fn late_rank(rank: u8) -> u8 {
     rank.saturating_add(LATE_RANK_OFFSET).min(LAST_RANK)
 }
 
-/// The replicas among which an admitted request is placed, and its rank.
+/// Result of the admission of a request.
 #[derive(Debug)]
 pub struct Admitted {
-    /// The replicas.
+    /// Replicas among which it is placed.
     pub candidates: Vec<Rc<Replica>>,
-    /// The rank; 0 goes first.
+    /// Rank in their queues; 0 goes first.
     pub rank: u8,
 }
 
-/// Admits a request to the replicas that `eligible` tells for its rank, or refuses it. Only prompts are regulated,
-/// and no stream that goes on: its caller has a part of the answer.
+/// Admits a request to the replicas that `eligible` returns for its rank, or refuses it. Only requests with a prompt
+/// are regulated, and not those that resume a stream: their callers have a part of the answer.
 pub fn admit(
     state: &GatewayState,
     context: &RequestContext,
@@ -129,7 +130,8 @@
             detail,
         ));
     }
-    // Where older weights leave no time for the longer wait behind, it goes with its own rank.
+    // If the remaining time of older weights does not allow the longer wait of the late rank, the request keeps its own
+    // rank.
     match eligible(behind) {
         Ok(candidates) => Ok(Admitted {
             candidates,
@@ -139,7 +141,7 @@
     }
 }
 
-/// The refusal of a request that would wait for `wait`, where one that comes back may wait for `acceptable_wait`.
+/// Refusal of a request that would wait for `wait`; its retry accepts a wait of `acceptable_wait`.
 fn overloaded(
     state: &GatewayState,
     context: &RequestContext,
--- a/crates/gateway/src/pipeline/attempts.rs
+++ b/crates/gateway/src/pipeline/attempts.rs
@@ -24,17 +24,19 @@
 use crate::state::GatewayState;
 use crate::upstream::SendFailure;
 
-/// Replicas that may say "not run", or can't be reached, before the request is refused.
+/// Maximum number of replicas that answer "not run" before the request is refused.
 const MAX_NOT_RUN_ANSWERS: usize = 3;
 
-/// Replicas that can't be reached before the request is refused.
+/// Maximum number of unreachable replicas before the request is refused.
 const MAX_UNREACHABLE: usize = 4;
 
-/// Replicas without room in their limits after which the request is refused: each question takes a round trip.
+/// Maximum number of replicas without room in their rate limits before the request is refused: each permit query takes
+/// a round trip.
 const MAX_PERMIT_DENIALS: usize = 6;
 
-/// How long a request waits to hear of weights that every replica refused it for. Its gateway asks another one at once, whose
-/// answer takes milliseconds; a caller that is refused comes back no sooner (`Retry-After` of 250 ms).
+/// How long a request that every replica refused for its weights waits to learn of other weights. Its gateway queries
+/// another gateway at once, which answers within milliseconds; a refused caller would retry no sooner (`Retry-After` of
+/// 250 ms).
 const WEIGHTS_UPDATE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Why a request is withdrawn.
@@ -46,39 +48,39 @@
     state: Rc<GatewayState>,
     context: Rc<RequestContext>,
     tried: Vec<ReplicaIncarnation>,
-    /// Replicas that refused since they have other weights than they were sent to for.
+    /// Replicas that refused because they have other weights than the request was sent for.
     weights_mismatches: Vec<WeightsMismatch>,
     possible_runs: u32,
     not_run_answers: usize,
     unreachable: usize,
     sends: u32,
-    /// Replicas whose limits left no room.
+    /// Number of replicas whose rate limits left no room.
     permit_denials: usize,
-    /// The least time after which one of them has room again.
+    /// Minimum time until one of them has room again.
     min_permit_wait: Duration,
     /// When the request was last sent to a replica.
     sent_at: Instant,
 }
 
-/// A replica that refused a request since it has other weights.
+/// A replica that refused a request because it has other weights.
 #[derive(Debug)]
 struct WeightsMismatch {
     replica: Rc<Replica>,
-    /// The version for which the request was sent.
+    /// Version that the request was sent for.
     requested_version: u64,
 }
 
-/// Why an answer that had begun is not read to its end.
+/// Why an answer that has begun is not read to its end.
 #[derive(Debug)]
 pub enum AnswerFailure {
     /// It broke off, for this cause.
     BrokeOff(String),
-    /// Its head had come, but the request had not begun when the replica's weights became too old.
+    /// Its head arrived, but the request had not begun when the replica's weights became too old.
     Withdrawn,
 }
 
 impl AnswerFailure {
-    /// The cause in words.
+    /// Description of the cause.
     pub fn cause(&self) -> &str {
         match self {
             Self::BrokeOff(cause) => cause,
@@ -87,7 +89,7 @@
     }
 }
 
-/// A replica's answer whose head has come.
+/// A replica's answer whose head has arrived.
 #[derive(Debug)]
 pub struct Attempt {
     /// The answer.
@@ -97,7 +99,7 @@
 }
 
 impl Attempts {
-    /// No attempt was made yet.
+    /// Starts without any attempt.
     pub fn new(state: &Rc<GatewayState>, context: &Rc<RequestContext>) -> Self {
         state.retry_budgets.earn(&context.service);
         Self {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Sends the request until a replica's answer has begun. `last_event_id` goes on with a stream.
+    /// Sends the request until a replica's answer has begun. `last_event_id` resumes a stream after that event.
     pub async fn next(&mut self, last_event_id: Option<&str>) -> Result<Attempt, Refusal> {
         let timeout = first_list_timeout(self.state.now(), self.context.time_left());
         let service = &self.context.service;
@@ -172,19 +174,19 @@
         }
     }
 
-    /// Whether a request that a replica has run, or may have run, may go to another one.
+    /// Whether a request that a replica has run, or may have run, may be sent to another one.
     pub fn may_run_again(&self) -> bool {
         self.context.route.is_repeatable() && self.possible_runs < self.context.route.max_attempts
     }
 
-    /// Takes in that an answer whose head had come is not read to its end; an error where the request can't be
+    /// Handles an answer that is not read to its end although its head has arrived; an error if the request can't be
     /// sent again.
     pub fn handle_failed_answer(
         &mut self,
         choice: &Choice,
         why: &AnswerFailure,
     ) -> Result<(), Refusal> {
-        // It counted as a run when its head came.
+        // It was counted as a run when its head arrived.
         self.possible_runs -= 1;
         match why {
             AnswerFailure::BrokeOff(cause) => {
@@ -194,7 +196,8 @@
         }
     }
 
-    /// Takes in that the chosen replica's limit leaves no room; it is passed over until it does. An error where too many did.
+    /// Handles a denied permit: the replica is passed over until its limit has room. An error if too many replicas have
+    /// denied one.
     fn handle_permit_denial(
         &mut self,
         choice: &Choice,
@@ -264,7 +267,7 @@
         }
     }
 
-    /// The replica with the version of the weights that the request was sent for; nothing where it needs none.
+    /// The replica with the version that the request was sent for; nothing if the request needs no weights.
     fn mismatch_at(&self, choice: &Choice) -> Option<WeightsMismatch> {
         self.context.prompt()?;
         Some(WeightsMismatch {
@@ -273,9 +276,9 @@
         })
     }
 
-    /// Takes in that the right replica has other weights than it was sent to for. Where newer ones are known that it may have,
-    /// the request goes back to it once: where a service has few replicas, all may have loaded between the choice and the
-    /// arrival. Else it may return once no other replica is left.
+    /// Handles an answer of the right replica that it has other weights than the request was sent for. If it is known
+    /// to have newer ones, the request is sent to it once more: in a service with few replicas, all may have loaded new
+    /// weights between the choice and the arrival. Otherwise it may be tried again once no other replica is left.
     fn handle_mismatch(
         &mut self,
         choice: &Choice,
@@ -300,13 +303,13 @@
         mismatches.any(|mismatch| mismatch.replica.incarnation == *life)
     }
 
-    /// The version that is believed of a replica.
+    /// Version that the replica is believed to have.
     fn believed_version(&self, mismatch: &WeightsMismatch) -> Option<u64> {
         let prompt = self.context.prompt()?;
         mismatch.replica.version_of(&prompt.model)
     }
 
-    /// Whether another version is believed of a replica than the request was sent for.
+    /// Whether the replica is now believed to have another version than the one that the request was sent for.
     fn has_learned_version(&self, mismatch: &WeightsMismatch) -> bool {
         let Some(prompt) = self.context.prompt() else {
             return false;
@@ -317,8 +320,8 @@
         self.believed_version(mismatch) != Some(mismatch.requested_version)
     }
 
-    /// Whether a replica that refused the request for its weights may be tried again for those that it is believed to have now.
-    /// Where nothing else is known of any, this gateway waits until it hears of other weights.
+    /// Whether a replica that refused the request for its weights may be tried again with those that it is now believed
+    /// to have. If nothing new is known of any, waits for an update of the weights.
     async fn may_retry_after_mismatch(&mut self) -> bool {
         let mismatches = std::mem::take(&mut self.weights_mismatches);
         if mismatches.is_empty() {
@@ -340,7 +343,7 @@
         !known.is_empty()
     }
 
-    /// Asks another gateway, and waits until it or the store tells of weights that one of these replicas may have.
+    /// Queries another gateway, and waits until it or the store names weights that one of these replicas may have.
     async fn wait_for_weights_update(&self, mismatches: &[WeightsMismatch]) {
         self.state.peers.ask_now();
         let timeout = WEIGHTS_UPDATE_TIMEOUT.min(self.context.time_left());
@@ -357,7 +360,7 @@
         }
     }
 
-    /// Whether a request that failed at a replica goes to another one instead of passing the failure on.
+    /// Whether a request that failed at a replica is sent to another one instead of forwarding the failure.
     fn tries_elsewhere_after_failure(&mut self, choice: &Choice) -> bool {
         let is_possible = self.may_run_again()
             && !self.context.time_left().is_zero()
@@ -407,20 +410,21 @@
         choice.replica.health.record_overload(Instant::now());
         self.state.holders.forget(&choice.prefixes, &choice.replica);
         self.tried.push(choice.replica.incarnation.clone());
-        // Its next request goes elsewhere at once, so only the budget of repeats bounds the search for one that has room.
+        // Its next request goes elsewhere at once, so only the retry budget bounds the search for a replica that has
+        // room.
         if choice.replica.notices.is_cooling_down(Instant::now()) {
             return Ok(());
         }
         self.count_not_run(peer, detail)
     }
 
-    /// Counts a send that a replica did not run; an error where there were too many.
+    /// Counts an answer "not run"; an error if there were too many.
     fn count_not_run(&mut self, peer: SocketAddr, detail: &str) -> Result<(), Refusal> {
         self.not_run_answers += 1;
         if self.not_run_answers < MAX_NOT_RUN_ANSWERS {
             return Ok(());
         }
-        // Where all others rest too, the caller is told when that ends.
+        // If all other replicas are cooling down too, the caller is told when that ends.
         match choose(&self.state, &self.context, &self.tried, Progress::New) {
             Err(refusal) if refusal.reason == Reason::Paused => {
                 Err(self.refusal_without_replica(refusal))
@@ -453,8 +457,8 @@
         }
     }
 
-    /// Takes in that the request was withdrawn from a replica. It may have begun unseen, so it counts as a run;
-    /// the replica is none the worse for it.
+    /// Handles the withdrawal of the request from a replica. It may have begun without an answer, so it counts as a
+    /// run; this is not held against the replica.
     fn handle_withdrawn(&mut self, choice: &Choice) -> Result<(), Refusal> {
         self.possible_runs += 1;
         self.state.status.metrics.withdrawn.inc();
@@ -508,7 +512,7 @@
         }
     }
 
-    /// The refusal of a request that goes to no more replicas. Once it may have run, nothing is promised.
+    /// Refusal of a request that is sent to no more replicas. If it may have run, it is not reported as not run.
     fn give_up(&self, reason: Reason, peer: Option<SocketAddr>, detail: &str) -> Refusal {
         let reason = match (reason, self.possible_runs) {
             (Reason::NotRun, 0) => Reason::NotRun,
--- a/crates/gateway/src/pipeline/choose_replica.rs
+++ b/crates/gateway/src/pipeline/choose_replica.rs
@@ -1,4 +1,4 @@
-//! Filter: chooses the replica for one attempt, and what it may start from.
+//! Filter: chooses the replica for one attempt, and where it gets cached prompt work from.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,48 +17,48 @@
 use crate::replicas::{Candidate, MAX_COMPARED, PlacementKey, Replica, ServiceReplicas, place};
 use crate::state::GatewayState;
 
-/// Shared tokens from which a prompt is worth copying to a store; fewer are read again in no time.
+/// Minimum number of shared tokens for a prompt to be worth saving to a KV store; fewer are recomputed quickly.
 const MIN_SHARED_TOKENS_TO_SAVE: u64 = 512;
 
-/// A prompt is copied only if its own part has at most the shared tokens divided by this: the own part goes
-/// along, and drives out what others need.
+/// Minimum ratio of a prompt's shared tokens to its own for it to be saved: the own part is copied too, and evicts what
+/// others need.
 const MIN_SHARED_TO_OWN_RATIO: u64 = 1;
 
-/// After this time answers with older weights are worth less.
+/// Time after which answers computed with older weights are worth less.
 const OUTDATED_PENALTY_DELAY: Duration = Duration::from_millis(1400);
 
-/// Of the few replicas that are compared, so many must be able to serve: else others are looked at too.
+/// Minimum number of eligible replicas among the few that are compared; with fewer, all replicas are considered.
 const MIN_ELIGIBLE_COMPARED: usize = MAX_COMPARED / 4;
 
-/// A replica for one attempt.
+/// A replica chosen for one attempt.
 #[derive(Debug)]
 pub struct Choice {
     /// The replica.
     pub replica: Rc<Replica>,
-    /// The version of the weights that it is believed to have.
+    /// Version of the weights that it is believed to have.
     pub weights_version: Option<u64>,
-    /// The name under which cached prompt work is kept and found.
+    /// Scope in which cached prompt work is stored and looked up.
     pub cache_scope: Option<String>,
-    /// Where to take cached prompt work from.
+    /// Where to fetch cached prompt work from.
     pub fetch_from: Option<SocketAddr>,
-    /// Where to copy cached prompt work to.
+    /// Where to save cached prompt work to.
     pub save_to: Option<SocketAddr>,
-    /// The shared prefixes of the prompt, under the replica's weights.
+    /// Shared prefixes of the prompt, under the replica's weights.
     pub prefixes: Vec<Prefix>,
-    /// Tokens of the prompt that it probably keeps.
+    /// Tokens of the prompt that it probably has cached.
     pub cached_tokens: u64,
-    /// Tokens of the prompt that it probably has to read.
+    /// Tokens of the prompt that it probably has to prefill.
     pub tokens_to_prefill: u64,
-    /// Whether the prompt's shared parts belong there.
+    /// Whether it is the home of the prompt's shared parts (the replica that their placement key maps to).
     pub is_home: bool,
-    /// The rank under which it is sent; 0 goes first.
+    /// Rank in the replica's queue; 0 goes first.
     pub rank: u8,
-    /// Replicas among which it was chosen.
+    /// Number of replicas among which it was chosen.
     pub candidates: usize,
 }
 
-/// Chooses among the replicas that were not `tried`, where the request will begin at one of them in its caller's
-/// time.
+/// Chooses among the replicas that were not `tried`, if the request will begin at one of them before its caller gives
+/// it up.
 pub fn choose(
     state: &GatewayState,
     context: &RequestContext,
@@ -115,7 +115,7 @@
     })
 }
 
-/// Whether the shared parts of the prompt are worth copying to the store, and not known to be there.
+/// Whether the shared parts of the prompt are worth saving to the store, and not known to be there.
 fn should_save(
     state: &GatewayState,
     context: &RequestContext,
@@ -135,8 +135,8 @@
         .wants_copy(store, scope, shared, Instant::now())
 }
 
-/// Admits the request to the few replicas of many that can win, where most of them may serve and it will begin in time there.
-/// Otherwise all have to be looked at.
+/// Admits the request to a few replicas out of many: those that can win the placement. Returns nothing if too few of
+/// them are eligible or the request would begin late there; then all replicas have to be considered.
 fn admit_to_compared(
     state: &GatewayState,
     context: &RequestContext,
@@ -152,8 +152,8 @@
     (is_enough && admitted.rank == context.priority()).then_some(admitted)
 }
 
-/// The replicas that may serve: listed, not leaving, with weights that may still be used; of these, if
-/// there are any, those that can be reached and aren't loading.
+/// Replicas that may serve the request: listed, not leaving, not tried, with weights that may still be used, and not
+/// paused. Among these, reachable ones that are not loading weights are preferred, if there are any.
 fn eligible(
     state: &GatewayState,
     context: &RequestContext,
@@ -187,7 +187,7 @@
     }
 }
 
-/// Keeps the replicas that take requests now, as they say themselves.
+/// Keeps the replicas that accept requests now, according to their own notices.
 fn retain_unpaused(
     state: &GatewayState,
     replicas: &mut Vec<Rc<Replica>>,
@@ -206,7 +206,7 @@
     Ok(())
 }
 
-/// The first of these replicas that takes requests again, where all have asked for a pause.
+/// The replica whose pause ends first, if all have asked for a pause.
 fn earliest_pause_end<'a>(
     replicas: impl Iterator<Item = &'a Rc<Replica>>,
     now: Instant,
@@ -221,7 +221,7 @@
     earliest
 }
 
-/// The refusal where this replica is the first to take requests again.
+/// Refusal if all replicas are paused; `replica` is the first that accepts requests again.
 fn all_paused(state: &GatewayState, replica: &Replica, pause: &Pause, now: Instant) -> Refusal {
     replica.notices.log_passed_over(replica.id(), pause, now);
     let time = pause.until.saturating_duration_since(now);
@@ -233,7 +233,7 @@
     paused(state, time, detail)
 }
 
-/// The refusal of a request that no replica takes for so long.
+/// Refusal of a request that no replica accepts for `time`.
 pub fn paused(state: &GatewayState, time: Duration, detail: String) -> Refusal {
     Refusal {
         retry_after: Some(retry_after_pause(time, state.draw())),
@@ -241,6 +241,7 @@
     }
 }
 
+/// Whether the replica's weights may still be used when the request is expected to begin there.
 fn has_usable_weights(
     state: &GatewayState,
     context: &RequestContext,
@@ -251,7 +252,7 @@
     let Some(prompt) = context.prompt() else {
         return true;
     };
-    // An entry that names no weights is not that of a replica that runs models.
+    // An entry without weights was not written by a replica that runs models.
     if replica.entry().models.is_empty() {
         return false;
     }
@@ -263,7 +264,7 @@
     })
 }
 
-/// Whether an answer with the replica's weights is worth less.
+/// Whether an answer computed with the replica's weights is worth less.
 fn is_penalized_as_outdated(
     state: &GatewayState,
     context: &RequestContext,
@@ -272,7 +273,7 @@
     outdated_for(state, context, replica).is_some_and(|age| age >= OUTDATED_PENALTY_DELAY)
 }
 
-/// For how long newer weights than the replica's have been wanted.
+/// How long newer weights than the replica's have been wanted.
 fn outdated_for(
     state: &GatewayState,
     context: &RequestContext,
@@ -284,13 +285,14 @@
     weights.outdated_for(&prompt.model, version, Instant::now())
 }
 
-/// Tokens that the replica has to read: all but those that it keeps or fetches.
+/// Tokens that the replica has to prefill: all that it neither has cached nor fetches.
 fn tokens_to_prefill(context: &RequestContext, supply: &Supply) -> u64 {
     let fetched = supply.source.map_or(0, |source| source.tokens);
     let known = supply.cached_tokens.max(fetched);
     context.input_tokens().saturating_sub(known)
 }
 
+/// The replica as the placement compares it.
 fn to_candidate(
     state: &GatewayState,
     context: &RequestContext,
--- a/crates/gateway/src/pipeline/collect.rs
+++ b/crates/gateway/src/pipeline/collect.rs
@@ -1,4 +1,4 @@
-//! Filter: answers a request whose answer is passed on once it is whole.
+//! Filter: answers a request whose answer is forwarded once it is complete.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use super::refusal::{Reason, Refusal, Step};
 use crate::state::GatewayState;
 
-/// The longest answer that is held, in bytes.
+/// Maximum size of a buffered answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// How much longer than its time a request is held, so that its replica's own last word comes first.
+/// How long a request is held beyond its deadline, so that the replica's own answer to the timeout arrives first.
 pub const DEADLINE_GRACE: Duration = Duration::from_millis(150);
 
 /// Serves the request.
@@ -46,7 +46,7 @@
     Ok(builder.body(answer.body.to_vec()))
 }
 
-/// An answer that is whole.
+/// A complete answer.
 struct CompleteAnswer {
     replica: String,
     status: StatusCode,
@@ -79,7 +79,7 @@
     }
 }
 
-/// Copies the headers of a replica's answer that concern the caller.
+/// Copies the headers of a replica's answer, except those of its connection.
 pub fn copy_headers(headers: &HeaderMap, builder: &mut ResponseBuilder) {
     for (name, value) in headers {
         if !is_hop_by_hop(name) {
--- a/crates/gateway/src/pipeline/dispatch.rs
+++ b/crates/gateway/src/pipeline/dispatch.rs
@@ -20,27 +20,27 @@
 use crate::state::GatewayState;
 use crate::upstream::{Answer, Connection, SendFailure};
 
-/// Why a request is not sent though a connection has come up.
+/// Why a request is not sent although the connection is established.
 const WEIGHTS_TOO_OLD: &str = "its weights have become too old";
 
-/// An answer whose head has come, and the count of the work that it stands for.
+/// An answer whose head has arrived.
 #[derive(Debug)]
 pub struct OpenAnswer {
     /// The answer.
     pub answer: Answer,
-    /// Counts the request at its replica for as long as the answer is open.
+    /// Counts the request as open at its replica until the answer is closed.
     pub _work: OpenRequestGuard,
-    /// Its wait at the replica, as long as it has not begun.
+    /// The request's wait in the replica's queue, until it begins.
     queued: Option<QueuedRequest>,
 }
 
 impl OpenAnswer {
-    /// Whether the replica has begun to answer: of a stream an event has come, of others the head.
+    /// Whether the replica has begun to answer: the first event of a stream has arrived, or the head of another answer.
     pub fn has_begun(&self) -> bool {
         self.queued.is_none()
     }
 
-    /// Takes in that it has; later calls change nothing.
+    /// Records that the replica has begun to answer; later calls have no effect.
     pub fn note_begun(&mut self, state: &GatewayState, context: &RequestContext, choice: &Choice) {
         let Some(queued) = self.queued.take() else {
             return;
@@ -57,18 +57,18 @@
     }
 }
 
-/// Why a request that goes to a replica gets no head of an answer.
+/// Why a request gets no head of an answer from a replica.
 pub enum SendError {
     /// It could not be sent, or its answer was lost.
     Failed(SendFailure),
     /// It waited until the replica's weights became too old.
     Withdrawn,
-    /// It was not sent: while its connection came up the replica asked for a rest.
+    /// It was not sent: the replica asked for a cooldown while the connection was being established.
     Resting,
 }
 
-/// Sends the request and waits for the head of the answer as long as it may begin there. A kept connection that
-/// turns out to be closed before a byte was sent is replaced.
+/// Sends the request and waits for the head of the answer for as long as the request may begin there. A pooled
+/// connection that turns out to be closed before a byte was sent is replaced.
 pub async fn send(
     state: &GatewayState,
     context: &RequestContext,
@@ -84,7 +84,7 @@
             pool.put(connection);
             return Err(SendError::Resting);
         }
-        // While the connection came up: a request that is not sent has not run, one that is withdrawn may have.
+        // Checked again after connecting: a request that is not sent has not run, one that is withdrawn may have.
         if are_weights_too_old(state, context, choice) {
             return Err(SendError::Failed(not_sent(choice, WEIGHTS_TOO_OLD)));
         }
@@ -113,7 +113,7 @@
     }
 }
 
-/// Remembers what the replica has to read and keeps from now on, and reports it to other daemons.
+/// Records what the replica has to prefill and will have cached, and reports it to other gateways.
 fn note_prompt(state: &GatewayState, choice: &Choice) {
     if choice.tokens_to_prefill == 0 {
         return;
@@ -133,7 +133,7 @@
     });
 }
 
-/// A connection to the replica. While one comes up the replica may have begun to leave: it is then not used.
+/// Returns a connection to the replica, unless the replica has begun to leave while it was established.
 async fn connect(state: &GatewayState, choice: &Choice) -> Result<Connection, SendFailure> {
     let connection = choice.replica.pool.take().await;
     let connection = connection.map_err(|error| not_sent(choice, &error.to_string()))?;
--- a/crates/gateway/src/pipeline/judge.rs
+++ b/crates/gateway/src/pipeline/judge.rs
@@ -1,4 +1,4 @@
-//! What a replica's answer means for its request.
+//! Interprets a replica's answer.
 
 use http::StatusCode;
 use http::header::CONTENT_ENCODING;
@@ -7,7 +7,7 @@
 use crate::protocol::{AnswerMeta, RequestProtocol};
 use crate::upstream::Answer;
 
-/// What the head of an answer means.
+/// Meaning of an answer's head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
     /// It is the replica's answer to this request.
@@ -16,11 +16,11 @@
     NotRun,
     /// The replica ran the request and failed.
     Failed,
-    /// It is not an answer to this request, or none that can be passed on.
+    /// It does not answer this request, or can't be forwarded.
     Unusable(&'static str),
 }
 
-/// Reads the head of `answer`.
+/// Reads and interprets the head of `answer`.
 pub fn judge<P: RequestProtocol + ?Sized>(
     platform: &P,
     context: &RequestContext,
--- a/crates/gateway/src/pipeline/prompt_sources.rs
+++ b/crates/gateway/src/pipeline/prompt_sources.rs
@@ -1,4 +1,4 @@
-//! What each candidate keeps of a prompt's shared parts, and where it can fetch the others from.
+//! What each candidate has cached of a prompt's shared parts, and where it can fetch the rest from.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,43 +13,44 @@
 use crate::replicas::{Replica, estimated_prefill_time};
 use crate::state::GatewayState;
 
-/// How much a fetch counts against its time on an idle link, since others use the link too.
+/// Factor of a fetch's cost over its time on an idle link, since others use the link too.
 const FETCH_COST_FACTOR: f64 = 3.0;
 
-/// What a fetch costs besides the time on the link: asking the source, and what it puts out of memory.
+/// Cost of a fetch besides the time on the link: the query to the source, and what the fetched parts evict from memory.
 const FETCH_OVERHEAD: Duration = Duration::from_millis(8);
 
-/// How much reading shared parts again counts against its time: it keeps others waiting, and is paid for.
+/// Factor of the cost of recomputing shared parts over the time that it takes: it keeps other requests waiting, and is
+/// paid for.
 const PREFILL_COST_FACTOR: f64 = 2.0;
 
-/// The share of a replica's memory that keeps what no request uses, where it is about half busy.
+/// Share of a replica's memory that holds cached parts no running request uses, at about half load.
 const REUSABLE_CACHE_SHARE: f64 = 0.6;
 
-/// Where a candidate takes missing parts from.
+/// Source of parts that a candidate lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Source {
     /// Its address.
     pub address: SocketAddr,
     /// Tokens of the prompt that it probably has.
     pub tokens: u64,
-    /// Whether it is another replica, else the KV store.
+    /// Whether it is another replica rather than the KV store.
     pub is_replica: bool,
 }
 
-/// What one candidate needs before it has the shared parts.
+/// How one candidate gets the shared parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Supply {
-    /// Tokens of the prompt that it probably keeps.
+    /// Tokens of the prompt that it probably has cached.
     pub cached_tokens: u64,
-    /// Where it takes more from.
+    /// Where it fetches more from.
     pub source: Option<Source>,
-    /// What that costs.
+    /// Cost of the fetch.
     pub fetch_cost: Duration,
-    /// What it costs to read the shared parts that it neither keeps nor fetches.
+    /// Cost of recomputing the shared parts that it neither has cached nor fetches.
     pub prefill_cost: Duration,
 }
 
-/// The supply of each candidate for one prompt.
+/// Finds the supply of each candidate for one prompt.
 pub struct PromptSources<'a> {
     state: &'a GatewayState,
     context: &'a RequestContext,
@@ -58,7 +59,7 @@
     by_version: HashMap<Option<u64>, VersionSources>,
 }
 
-/// What is known of the prompt under one version of the weights.
+/// Sources of the prompt under one version of the weights.
 struct VersionSources {
     prefixes: Vec<Prefix>,
     replicas: Vec<(Rc<Replica>, u64)>,
@@ -66,7 +67,7 @@
 }
 
 impl<'a> PromptSources<'a> {
-    /// The sources of the prompt of `context`; `store` where it may be fetched from there.
+    /// Creates the sources for the prompt of `context`; `store` is set if it may be fetched from there.
     pub fn new(
         state: &'a GatewayState,
         context: &'a RequestContext,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// What `candidate` needs.
+    /// How `candidate` gets the shared parts.
     pub fn supply(&mut self, candidate: &Rc<Replica>) -> Supply {
         let version = self.context.version_of(candidate);
         if !self.by_version.contains_key(&version) {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The prefixes of the prompt for `candidate`'s weights.
+    /// Prefixes of the prompt under the weights of `candidate`.
     pub fn prefixes(&self, candidate: &Replica) -> Vec<Prefix> {
         let version = self.context.version_of(candidate);
         let sources = self.by_version.get(&version);
@@ -161,8 +162,8 @@
         holders.held_tokens(prefixes, replica, kept_tokens, is_prefilled, self.now)
     }
 
-    /// Where most of the prompt is: of the replicas that have more than `candidate` the nearest and least busy
-    /// one, or the store.
+    /// The source with most of the prompt: the nearest and least busy of the replicas that have more than `candidate`,
+    /// or the store.
     fn source_for(
         &self,
         sources: &VersionSources,
@@ -190,14 +191,14 @@
             },
             is_replica: false,
         });
-        // Of equal ones the replica: its link carries more than the store's.
+        // The replica wins a tie: its link is faster than the store's.
         store
             .into_iter()
             .chain(replica)
             .max_by_key(|source| source.tokens)
     }
 
-    /// The time in which so many tokens come from the source.
+    /// Cost of fetching this many tokens from the source.
     fn fetch_cost(&self, source: &Source, tokens: u64) -> Duration {
         let engine = self.context.engine();
         let bytes_per_token = engine.map_or(0, |engine| engine.bytes_per_token);
--- a/crates/gateway/src/pipeline/refusal.rs
+++ b/crates/gateway/src/pipeline/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own, and what they promise.
+//! The gateway's own answers, and what they promise.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use super::account::RequestTracker;
 use crate::state::GatewayState;
 
-/// The step of the path at which a request was refused.
+/// Step of the path at which a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// Reading the head.
@@ -22,7 +22,7 @@
     Route,
     /// Checking the key.
     Authenticate,
-    /// Checking the tenant's limit.
+    /// Checking the tenant's quota.
     Quota,
     /// Reading the body.
     Body,
@@ -34,18 +34,18 @@
     Answer,
 }
 
-/// Why a request gets no replica's answer.
+/// Why a request is not answered by a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
     /// The head can't be read.
     MalformedHead,
     /// There is no such route.
     NoRoute,
-    /// The key is not known.
+    /// The key is unknown.
     UnknownKey,
-    /// It is beyond its tenant's limit for now.
+    /// It exceeds its tenant's quota for now.
     OverQuota,
-    /// It is larger than its tenant's limit ever bears.
+    /// It is larger than its tenant's quota ever allows.
     BeyondQuota,
     /// The body is too large.
     BodyTooLarge,
@@ -55,15 +55,15 @@
     NotInformed,
     /// A planned stop is nearly over.
     Stopping,
-    /// The route has no replica that could serve.
+    /// The route has no replica that could serve it.
     NoReplica,
-    /// Every replica that could serve has asked for a pause.
+    /// Every replica that could serve it has asked for a pause.
     Paused,
     /// It would begin at no replica before its caller gives it up.
     Overloaded,
-    /// The replicas asked are full or leaving, and have not run it.
+    /// The replicas that were asked are full or leaving, and have not run it.
     NotRun,
-    /// It ended the replicas that ran it, and is sent to none any more.
+    /// It crashed the replicas that ran it, and is sent to none any more.
     Quarantined,
     /// It may have run.
     Unknown,
@@ -71,12 +71,12 @@
     TimedOut,
 }
 
-/// When a caller should come back that this daemon can't serve for want of a proof: at once, since its next
-/// connection goes to another daemon, which most often has one.
+/// When a caller should retry if this gateway can't serve it for lack of a proof: at once, since its next connection
+/// goes to another gateway, which usually has one.
 const NOT_INFORMED_RETRY_AFTER: Duration = Duration::from_millis(10);
 
 impl Reason {
-    /// The status that callers see. 429, 503, 408 and 421 promise that the request never runs.
+    /// Status that callers receive. 429, 503, 408 and 421 promise that the request never runs.
     fn status(self) -> StatusCode {
         match self {
             Self::MalformedHead | Self::BrokenBody => StatusCode::BAD_REQUEST,
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Whether the request certainly has not run.
+    /// Whether the request has certainly not run.
     pub fn is_not_run(self) -> bool {
         !matches!(self, Self::Unknown | Self::TimedOut)
     }
 
-    /// What the caller is told beside the status, where that says too little.
+    /// Explanation in the body, for refusals that the status does not explain.
     fn explanation(self) -> Option<Explanation> {
         match self {
             Self::Quarantined => Some(Explanation::new(
@@ -113,7 +113,7 @@
         }
     }
 
-    /// When the caller should come back, where that can help.
+    /// When the caller should retry, if that can help.
     fn retry_after(self) -> Option<Duration> {
         match self {
             Self::Stopping => Some(Duration::ZERO),
@@ -125,7 +125,7 @@
     }
 }
 
-/// The body of an answer that explains itself.
+/// Body of an answer with an explanation.
 #[derive(Debug, Serialize)]
 struct Explanation {
     error: ErrorBody,
@@ -151,7 +151,7 @@
     }
 }
 
-/// Filter: refuses requests that come when a planned stop is nearly over.
+/// Filter: refuses requests that arrive when a planned stop is nearly over.
 pub fn refuse_while_stopping(state: &GatewayState) -> Result<(), Refusal> {
     match state.status.is_refusing_requests() {
         true => Err(Refusal::new(Step::Decode, Reason::Stopping, "stopping")),
@@ -159,23 +159,23 @@
     }
 }
 
-/// An answer of the gateway's own.
+/// An answer of the gateway itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Where.
+    /// Step that refused the request.
     pub step: Step,
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// The replica that it concerns.
+    /// Replica that it concerns.
     pub peer: Option<SocketAddr>,
-    /// More for the logs.
+    /// Details for the logs.
     pub detail: String,
-    /// When the caller should come back, where that was estimated; else the reason tells it.
+    /// Estimated delay after which the caller should retry; if there is none, the reason's default applies.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal that concerns no peer.
+    /// Creates a refusal that concerns no replica.
     pub fn new(step: Step, reason: Reason, detail: impl Into<String>) -> Self {
         Self {
             step,
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Whether the caller should use another connection: the rest of the body can't be skipped, or the next
-    /// request on this one would be refused too.
+    /// Whether the caller should use another connection: the rest of the body can't be skipped, or the next request on
+    /// this one would be refused too.
     fn closes_connection(&self) -> bool {
         matches!(
             self.reason,
@@ -195,7 +195,7 @@
         )
     }
 
-    /// The answer; settles the account.
+    /// Converts the refusal into an answer, logs it and records it in the tracker.
     pub fn into_response(self, state: &GatewayState, tracker: &mut RequestTracker) -> HttpResponse {
         let status = self.reason.status();
         let retry_after = self.retry_after.or(self.reason.retry_after());
--- a/crates/gateway/src/pipeline/relay.rs
+++ b/crates/gateway/src/pipeline/relay.rs
@@ -1,8 +1,8 @@
-//! Filter: passes a stream on, event by event.
+//! Filter: forwards a stream event by event.
 //!
-//! The head is held until the first whole event, so that a replica that breaks off before it can still be
-//! replaced. A stream that breaks later goes on at another replica where the route allows it; else the
-//! caller's connection is closed without the end of the answer, so that it can't be taken for whole.
+//! The head is held until the first complete event, so that a replica that breaks off before it can still be replaced.
+//! A stream that breaks off later is resumed at another replica if the route allows it; otherwise the caller's
+//! connection is closed without the end of the answer, so that the answer can't be taken for complete.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -28,25 +28,25 @@
 use super::withdrawal::until_weights_too_old;
 use crate::state::GatewayState;
 
-/// A stream on its way.
+/// A stream that is being forwarded.
 struct Relay {
     state: Rc<GatewayState>,
     context: Rc<RequestContext>,
     attempts: Attempts,
     attempt: Attempt,
     splitter: EventSplitter,
-    /// What was read before the head was passed on.
+    /// The piece that was read before the head was forwarded.
     first_piece: Option<Piece>,
     tracker: RequestTracker,
     caller: Option<IoRef>,
     has_ended: bool,
 }
 
-/// What comes next in a stream.
+/// The next piece of a stream.
 enum Piece {
-    /// Whole events.
+    /// Complete events.
     Events(Bytes),
-    /// The end of a whole answer.
+    /// The end of a complete answer.
     End,
 }
 
@@ -83,7 +83,7 @@
     Ok(builder.streaming(Box::pin(unfold(relay, next_response_bytes))))
 }
 
-/// Waits for the first whole event, or the end of an answer without any.
+/// Waits for the first complete event, or for the end of an answer without events.
 async fn open_answer(
     state: &Rc<GatewayState>,
     context: &Rc<RequestContext>,
@@ -101,8 +101,8 @@
     }
 }
 
-/// Reads the next piece. Where none has come of this attempt yet, the request waits at its replica, and is
-/// withdrawn once the weights there are too old for it to begin.
+/// Reads the next piece. Before the first piece of an attempt the request waits at its replica, and is withdrawn once
+/// the weights there are too old for it to begin.
 async fn read_or_withdraw(
     state: &GatewayState,
     context: &RequestContext,
@@ -120,7 +120,7 @@
     Ok(piece)
 }
 
-/// Reads until there are whole events, or the end.
+/// Reads until there are complete events, or to the end.
 async fn read_piece(
     opened: &mut OpenAnswer,
     splitter: &mut EventSplitter,
@@ -142,8 +142,8 @@
     }
 }
 
-/// The next bytes of the response. Once the stream is cut nothing more comes: the connection is closed,
-/// and the response must not be ended as if it were whole.
+/// Next bytes of the response. After a cut nothing more is returned: the connection is closed, and the response must
+/// not end as if it were complete.
 async fn next_response_bytes(
     mut relay: Relay,
 ) -> Option<(Result<ntex::util::Bytes, Infallible>, Relay)> {
@@ -161,7 +161,7 @@
 }
 
 impl Relay {
-    /// Whole events; nothing at the end of the answer, and where the stream was cut.
+    /// Returns complete events; nothing at the end of the answer, or if the stream was cut.
     async fn next_events(&mut self) -> Option<Bytes> {
         loop {
             let piece = match self.first_piece.take() {
@@ -210,7 +210,7 @@
         last.saturating_duration_since(Instant::now())
     }
 
-    /// Goes on at another replica after the last event; false where the stream is cut.
+    /// Resumes the stream at another replica after the last event; returns false if the stream was cut.
     async fn resume_elsewhere(&mut self, why: &AnswerFailure) -> bool {
         let cause = why.cause();
         if self.caller.as_ref().is_some_and(IoRef::is_closed) {
@@ -253,7 +253,7 @@
         }
     }
 
-    /// The next attempt, as long as the request has time and its caller is there.
+    /// Next attempt, as long as the request has time left and its caller is connected.
     async fn next_attempt(&mut self, last_event_id: Option<&str>) -> Result<Attempt, Refusal> {
         let left = self.time_left();
         let caller = self.caller.clone();
--- a/crates/gateway/src/pipeline/withdrawal.rs
+++ b/crates/gateway/src/pipeline/withdrawal.rs
@@ -1,11 +1,12 @@
 //! When a request that waits at a replica is withdrawn.
 //!
-//! A choice is made when a request is sent, but the bound on older weights holds when it begins. How long it
-//! waits at the replica is only estimated, and newer weights may be named meanwhile. So a request that waits is
-//! withdrawn, by closing its connection, shortly before its replica's weights become too old.
+//! A replica is chosen when a request is sent, but the limit on older weights applies when it begins. Its wait at the
+//! replica is only estimated, and newer weights may be named meanwhile. So a waiting request is withdrawn, by closing
+//! its connection, shortly before its replica's weights become too old.
 //!
-//! A gateway that stands still withdraws nothing, and some replicas go on with a request whose connection has closed. So
-//! the request also bears the bound itself, as its deadline: a replica begins none whose deadline has passed.
+//! A gateway that is suspended withdraws nothing, and some replicas continue with a request whose connection was
+//! closed. So the request also carries the limit as its deadline: a replica begins no request whose deadline has
+//! passed.
 
 use std::time::Duration;
 
@@ -15,9 +16,9 @@
 use super::context::RequestContext;
 use crate::state::GatewayState;
 
-/// The time that the chosen replica is given: what is left of the caller's, but no more than until its weights are too
-/// old where the request may wait there so long. Without the latter a request began 3.45 s after a naming where 3 s
-/// are allowed, at a replica that goes on with closed ones.
+/// Time given to the chosen replica: the rest of the caller's time, but no more than until its weights are too old if
+/// the request may wait there that long. Without the latter, a request began 3.45 s after a naming, where 3 s are
+/// allowed, at a replica that continues with requests whose connections were closed.
 pub fn replica_time_limit(
     state: &GatewayState,
     context: &RequestContext,
@@ -51,7 +52,7 @@
     })
 }
 
-/// Ends when a request that has not begun at the chosen replica must not wait there any longer.
+/// Completes when a request that has not begun at the chosen replica must not wait there any longer.
 pub async fn until_weights_too_old(
     state: &GatewayState,
     context: &RequestContext,
@@ -70,7 +71,7 @@
         };
         match left {
             Some(left) if left.is_zero() => return,
-            // The time of an outage of the store does not count, so it may turn out to be longer.
+            // The time of a store outage does not count, so the time left may turn out to be longer.
             Some(left) => tokio::select! {
                 () = tokio::time::sleep(left) => {}
                 () = named => {}
