--- a/crates/gateway/src/peers/permits.rs
+++ b/crates/gateway/src/peers/permits.rs
@@ -48,5 +48,5 @@
 /// Applies a reply.
 pub(super) fn apply(state: &GatewayState, told: WirePermitReply) {
     state.permits.record_answer(told.daemon);
-    state.permits.queries.answer(told);
+    state.permits.queries.complete(told);
 }
--- a/crates/gateway/src/permits/queries.rs
+++ b/crates/gateway/src/permits/queries.rs
@@ -57,7 +57,7 @@
     }
 
     /// Completes the query that this answers. A late answer is dropped, as its request has gone elsewhere.
-    pub fn answer(&self, reply: WirePermitReply) {
+    pub fn complete(&self, reply: WirePermitReply) {
         let pending = self.pending.borrow_mut().remove(&reply.nonce);
         if let Some(pending) = pending {
             // The receiver is gone if its request was dropped.
@@ -78,12 +78,12 @@
         self.last_nonce.set(nonce);
         let (sender, receiver) = oneshot::channel();
         pending.insert(nonce, sender);
-        let ask = WirePermitQuery {
+        let message = WirePermitQuery {
             nonce,
             incarnation: query.incarnation,
             limit_thousandths: query.rate.map(RequestRate::thousandths),
         };
-        self.outbox.borrow_mut().push((ask, to.to_owned()));
+        self.outbox.borrow_mut().push((message, to.to_owned()));
         self.outbox_changed.notify_one();
         Some((nonce, receiver))
     }
--- a/crates/gateway/src/permits/ranking.rs
+++ b/crates/gateway/src/permits/ranking.rs
@@ -28,19 +28,19 @@
     })
 }
 
-/// The hashes of their names.
+/// The digests of their names.
 pub fn name_digests(issuers: &[&WireDaemon]) -> Vec<u64> {
     let names = issuers.iter().map(|issuer| name_digest(&issuer.name));
     names.collect()
 }
 
-/// The issuers that are ranked before the gateway with the hash `own`.
+/// The issuers that are ranked before the gateway with the name digest `own`.
 pub fn higher_ranked(issuers: &[u64], own: u64) -> &[u64] {
     let position = issuers.iter().position(|issuer| *issuer == own);
     &issuers[..position.unwrap_or(issuers.len())]
 }
 
-/// The position of the first issuer that is not silent, or that is this gateway itself, with the hash `own`.
+/// The position of the first issuer that is not silent, or that is this gateway itself, with the name digest `own`.
 pub fn first_responding(
     issuers: &[u64],
     own: u64,
--- a/crates/gateway/src/permits/silence.rs
+++ b/crates/gateway/src/permits/silence.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// The gateways with unanswered queries, by the hash of their names.
+/// The gateways with unanswered queries, by the digest of their names.
 #[derive(Debug, Default)]
 pub struct SilentIssuers {
     unanswered: RefCell<HashMap<u64, Unanswered>>,
--- a/crates/gateway/src/upstream/call.rs
+++ b/crates/gateway/src/upstream/call.rs
@@ -96,7 +96,8 @@
     call: &Call,
     may_be_sent: impl Fn() -> bool,
 ) -> Result<CallAnswer, CallError> {
-    let request = build(pool, call).map_err(|error| CallError::NotSent(error.to_string()))?;
+    let request =
+        build_request(pool, call).map_err(|error| CallError::NotSent(error.to_string()))?;
     let connection = pool.take().await;
     let mut connection = connection.map_err(|error| CallError::NotSent(error.to_string()))?;
     if !may_be_sent() {
@@ -114,7 +115,7 @@
     })
 }
 
-fn build(pool: &Pool, call: &Call) -> Result<Request<Full<Bytes>>, http::Error> {
+fn build_request(pool: &Pool, call: &Call) -> Result<Request<Full<Bytes>>, http::Error> {
     let mut request = Request::builder()
         .method(&call.method)
         .uri(&call.path)
