--- a/crates/gateway/src/quarantine/incarnations.rs
+++ b/crates/gateway/src/quarantine/incarnations.rs
@@ -55,9 +55,9 @@
     pub(super) fn note_successor(
         &mut self,
         before: u64,
-        successors: Successor,
+        successor: Successor,
     ) -> Vec<PendingStrike> {
-        if self.successors.insert(before, successors).is_none() {
+        if self.successors.insert(before, successor).is_none() {
             self.insertion_order.push_back(before);
         }
         if self.insertion_order.len() > MAX_INCARNATIONS
@@ -65,11 +65,11 @@
         {
             self.successors.remove(&oldest);
         }
-        let (named, pending) = std::mem::take(&mut self.pending)
+        let (attributed, pending) = std::mem::take(&mut self.pending)
             .into_iter()
             .partition(|pending| pending.strike.replica == before);
         self.pending = pending;
-        Vec::from(named)
+        Vec::from(attributed)
     }
 
     /// What followed this incarnation, if known.
--- a/crates/gateway/src/quarantine/shared.rs
+++ b/crates/gateway/src/quarantine/shared.rs
@@ -134,22 +134,22 @@
     /// their digests.
     pub fn note_next_incarnation(&self, before: u64, after: u64) {
         let mut ledger = self.ledger.borrow_mut();
-        let struck = ledger.note_next_incarnation(before, after, self.now());
+        let updates = ledger.note_next_incarnation(before, after, self.now());
         drop(ledger);
-        self.log_attributed(struck, after);
+        self.log_attributed(updates, after);
     }
 
     /// Records that the entry of a replica's incarnation, given by its digest, is gone.
     pub fn note_removed_incarnation(&self, incarnation: u64) {
         let mut ledger = self.ledger.borrow_mut();
-        let struck = ledger.note_removed_incarnation(incarnation, self.now());
+        let updates = ledger.note_removed_incarnation(incarnation, self.now());
         drop(ledger);
-        self.log_attributed(struck, incarnation);
+        self.log_attributed(updates, incarnation);
     }
 
     /// Logs and announces strikes that waited until their incarnation was known.
-    fn log_attributed(&self, struck: Vec<(Fingerprint, RecordUpdate)>, incarnation: u64) {
-        for (fingerprint, update) in struck {
+    fn log_attributed(&self, updates: Vec<(Fingerprint, RecordUpdate)>, incarnation: u64) {
+        for (fingerprint, update) in updates {
             log_event!(
                 gateway::REQUEST_STRUCK,
                 "fingerprint={fingerprint} replica_digest={incarnation:016x} count={} told_by={:?}",
--- a/crates/gateway/src/quota/group_use.rs
+++ b/crates/gateway/src/quota/group_use.rs
@@ -122,8 +122,8 @@
             report_totals.totals().since(&earlier)
         });
         let (asked, admitted) = (increase.asked as f64, increase.admitted as f64);
-        let previous_sent = sent.zip(self.sent);
-        let passed = previous_sent.map_or_else(
+        let send_times = sent.zip(self.sent);
+        let passed = send_times.map_or_else(
             || now.saturating_sub(self.reported_at),
             |(sent, before)| sent.saturating_sub(before),
         );
@@ -231,8 +231,8 @@
     /// Returns what is assumed to have been admitted since the last call if the group is silent at `now`. The
     /// result is negative once the group reports again and reported less than was assumed.
     pub fn assume_usage(&mut self, now: Duration) -> f64 {
-        let is_heard = now < self.reported_at + SILENCE_TIMEOUT;
-        if is_heard && now >= self.resumed_at + CATCH_UP_WINDOW {
+        let is_reporting = now < self.reported_at + SILENCE_TIMEOUT;
+        if is_reporting && now >= self.resumed_at + CATCH_UP_WINDOW {
             let unused = std::mem::take(&mut self.assumed);
             return if self.has_complete_reports {
                 -unused
--- a/crates/gateway/src/quota/limit.rs
+++ b/crates/gateway/src/quota/limit.rs
@@ -166,8 +166,8 @@
     /// What the limit can admit at `now`, and what is requested, both in units per second.
     fn capacity_and_demand(&mut self, now: Duration, known_groups: usize) -> (f64, f64) {
         self.refill(now);
-        let left = self.level - self.unreported_sum();
-        let capacity = self.rate() + left / AVERAGING_WINDOW.as_secs_f64();
+        let remaining = self.level - self.unreported_sum();
+        let capacity = self.rate() + remaining / AVERAGING_WINDOW.as_secs_f64();
         let capacity = capacity * self.reporting_share(now, known_groups);
         let rates = self.groups.values().map(|group| group.asked_rate(now));
         (capacity, rates.sum())
--- a/crates/gateway/src/quota/usage.rs
+++ b/crates/gateway/src/quota/usage.rs
@@ -159,7 +159,7 @@
 /// The last report of a member.
 #[derive(Debug, Default)]
 struct Member {
-    life: u64,
+    incarnation: u64,
     totals: HashMap<u64, Totals>,
     delay: MinDelay,
 }
@@ -170,7 +170,7 @@
 pub(super) struct MinDelay {
     min: Option<i128>,
     previous_min: Option<i128>,
-    began: Duration,
+    window_start: Duration,
 }
 
 impl MinDelay {
@@ -179,9 +179,9 @@
         let in_micros = |time: Duration| i128::try_from(time.as_micros()).unwrap_or(i128::MAX);
         let delay = in_micros(now) - in_micros(sent);
         let min = self.min.into_iter().chain(self.previous_min).min();
-        if now >= self.began + MIN_DELAY_WINDOW {
+        if now >= self.window_start + MIN_DELAY_WINDOW {
             self.previous_min = self.min.take();
-            self.began = now;
+            self.window_start = now;
         }
         self.min = Some(self.min.unwrap_or(delay).min(delay));
         min.is_some_and(|min| delay > min + in_micros(LATE_THRESHOLD))
@@ -192,9 +192,9 @@
     /// Adds what a member used since its last report, or since the sums of another leader included its usage.
     pub fn record_member(&mut self, usage: &WireUsage, now: Duration) {
         let member = self.members.entry(usage.daemon).or_default();
-        if member.life != usage.incarnation {
+        if member.incarnation != usage.incarnation {
             *member = Member {
-                life: usage.incarnation,
+                incarnation: usage.incarnation,
                 ..Member::default()
             };
         }
--- a/crates/gateway/src/suspected_weights.rs
+++ b/crates/gateway/src/suspected_weights.rs
@@ -101,11 +101,11 @@
     /// store.
     pub fn note_known(&mut self, weights: &ModelVersion, at: Instant, era: StoreEra) {
         let version = weights.version;
-        let known = self.by_model.entry(weights.model.clone()).or_default();
-        known.known_version = Some(KnownVersion { version, at, era });
+        let state = self.by_model.entry(weights.model.clone()).or_default();
+        state.known_version = Some(KnownVersion { version, at, era });
         let is_settled = |suspicion: &Suspicion| suspicion.weights.version <= version;
-        known.suspicion.take_if(|suspicion| is_settled(suspicion));
-        known.refused.clear();
+        state.suspicion.take_if(|suspicion| is_settled(suspicion));
+        state.refused.clear();
     }
 
     /// Records the object of a model as read from the store. The store had not reached its position at
@@ -118,19 +118,19 @@
         not_before: Option<Instant>,
     ) -> bool {
         let version = weights.version;
-        let known = self.by_model.entry(weights.model.clone()).or_default();
+        let state = self.by_model.entry(weights.model.clone()).or_default();
         let stored = ObservedObject { version, position };
         let is_older = |known: &ObservedObject| position.is_before_in_era(known.position);
-        if known.stored.as_ref().is_some_and(is_older) {
+        if state.stored.as_ref().is_some_and(is_older) {
             return false;
         }
-        let before = known.stored.replace(stored);
+        let before = state.stored.replace(stored);
         let same = before
             .filter(|before| before.version == version && before.position.era == position.era);
         if let Some(before) = same {
             return before.position < position;
         }
-        known.was_known_by(version, position.era, not_before)
+        state.was_known_by(version, position.era, not_before)
     }
 
     /// Whether a list that shows this object may hide a later naming. A list shows only the last write, which
@@ -143,36 +143,36 @@
         position: StorePosition,
         not_before: Option<Instant>,
     ) -> bool {
-        let (Some(newest), Some(known)) = (newest, self.by_model.get(&listed.model)) else {
+        let (Some(newest), Some(state)) = (newest, self.by_model.get(&listed.model)) else {
             return false;
         };
         if listed.version >= newest {
             return listed.version > newest;
         }
-        let stored = known
+        let stored = state
             .stored
             .filter(|stored| stored.position.era == position.era);
         match stored {
             Some(stored) if stored.position >= position => false,
             Some(stored) if stored.version == newest => true,
-            _ => known.was_known_by(newest, position.era, not_before),
+            _ => state.was_known_by(newest, position.era, not_before),
         }
     }
 
     /// Records the versions above the known ones that entries of replicas show, the lowest of each model;
     /// returns those shown for long enough to be suspected.
     pub fn note_shown(&mut self, shown: &HashMap<String, u64>, now: Instant) -> Vec<ModelVersion> {
-        for (model, known) in &mut self.by_model {
+        for (model, state) in &mut self.by_model {
             if !shown.contains_key(model) {
-                known.shown = None;
+                state.shown = None;
             }
         }
         let mut shown_long_enough = Vec::new();
         for (model, version) in shown {
-            let known = self.by_model.entry(model.clone()).or_default();
-            let same = known.shown.filter(|known| known.version == *version);
+            let state = self.by_model.entry(model.clone()).or_default();
+            let same = state.shown.filter(|known| known.version == *version);
             let (version, since) = (*version, same.map_or(now, |same| same.since));
-            known.shown = Some(ShownVersion { version, since });
+            state.shown = Some(ShownVersion { version, since });
             if now.saturating_duration_since(since) >= SUSPICION_DELAY {
                 let model = model.clone();
                 shown_long_enough.push(ModelVersion { model, version });
@@ -184,31 +184,31 @@
     /// Records a version that may have been named; returns whether that is new. Of several versions of a
     /// model the lowest is tried first.
     pub fn suspect(&mut self, suspicion: Suspicion) -> bool {
-        let known = self
+        let state = self
             .by_model
             .entry(suspicion.weights.model.clone())
             .or_default();
-        let is_new = known
+        let is_new = state
             .suspicion
             .as_ref()
             .is_none_or(|known| suspicion.weights.version < known.weights.version);
         if is_new {
-            known.suspicion = Some(suspicion);
+            state.suspicion = Some(suspicion);
         }
         is_new
     }
 
     /// Records that a replica refused a version because it was not named.
     pub fn note_refused(&mut self, weights: &ModelVersion, now: Instant) {
-        let Some(known) = self.by_model.get_mut(&weights.model) else {
+        let Some(state) = self.by_model.get_mut(&weights.model) else {
             return;
         };
         let is_refused = |suspicion: &mut Suspicion| suspicion.weights.version == weights.version;
-        if !known.suspicion.as_mut().is_some_and(is_refused) {
+        if !state.suspicion.as_mut().is_some_and(is_refused) {
             return;
         }
-        if known.note_refusal(weights.version, now) >= MAX_REFUSALS {
-            known.suspicion = None;
+        if state.note_refusal(weights.version, now) >= MAX_REFUSALS {
+            state.suspicion = None;
         }
     }
 
@@ -222,13 +222,13 @@
     pub fn all(&self) -> impl Iterator<Item = &Suspicion> {
         self.by_model
             .values()
-            .filter_map(|known| known.suspicion.as_ref())
+            .filter_map(|state| state.suspicion.as_ref())
     }
 
     /// The versions that may be tried at `now`.
     pub fn due(&self, now: Instant) -> Vec<Suspicion> {
         let suspicions = self.by_model.values();
-        let due = suspicions.filter_map(|known| known.due_suspicion(now));
+        let due = suspicions.filter_map(|state| state.due_suspicion(now));
         due.cloned().collect()
     }
 }
