--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is of use at a replica, and when a refused caller should come back.
+//! Admission: whether a request is worth sending to a replica, and when a refused caller should retry.
 
 use std::time::Duration;
 
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The parts that decide, each alone: placement, budgets, the plan of loads, health.
+//! Unit tests of single decisions: placement, retry budgets, the plan of weight loads, and replica health.
 
 #[path = "support/candidates.rs"]
 mod candidates;
--- a/crates/gateway/tests/event_splitter.rs
+++ b/crates/gateway/tests/event_splitter.rs
@@ -1,4 +1,4 @@
-//! Streams are passed on in whole events, however their bytes are cut.
+//! Streams are forwarded in complete events, however their bytes are split.
 
 use driftspring_gateway::pipeline::EventSplitter;
 use quickcheck::quickcheck;
--- a/crates/gateway/tests/first_list.rs
+++ b/crates/gateway/tests/first_list.rs
@@ -1,17 +1,18 @@
-//! Requests that come to a gateway while it learns its first list of replicas.
+//! Requests that arrive at a gateway before it has its first list of replicas.
 //!
-//! Of 301 gateways that were killed together the last knew all of 3,012 replicas 1.33 s after its process had started, 90 in 100 of
-//! them within 1.26 s (log lines 6000 and 6206). A request waited 0.6 s for the list and was then refused, with one try more left to
-//! its caller: 166 refusals "all are leaving, tried or unknown" after 600 to 640 ms, of requests with 0.8 to 15 s of time.
+//! Of 301 gateways that were killed together, the last one knew all 3,012 replicas 1.33 s after its process had
+//! started, and 90 in 100 within 1.26 s (log lines 6000 and 6206). A request waited 0.6 s for the list and was then
+//! refused, with a single retry left to its caller: 166 refusals "all are leaving, tried or unknown" after 600 to 640
+//! ms, of requests with 0.8 to 15 s of time.
 
 use std::time::Duration;
 
 use driftspring_gateway::pipeline::first_list_timeout;
 
-/// When the last gateway knew the replicas, counted from its start.
+/// When the last gateway knew the replicas, measured from its start.
 const SLOWEST_LIST: Duration = Duration::from_millis(1330);
 
-/// Served within so long of the start.
+/// Time after a start within which callers have to be served.
 const START_OBJECTIVE: Duration = Duration::from_secs(2);
 
 const fn ms(milliseconds: u64) -> Duration {
--- a/crates/gateway/tests/first_list_lines.rs
+++ b/crates/gateway/tests/first_list_lines.rs
@@ -1,7 +1,8 @@
-//! What a gateway logs of its first list of replicas.
+//! Log lines of a gateway's first list of replicas.
 //!
-//! Each of 301 gateways that started together wrote a line of 250 bytes for each of 3,012 replicas, on machines of 0.12 of a core, while
-//! its callers waited for the list; with 4,000 lines a second allowed there was hardly room for others.
+//! Each of 301 gateways that started together wrote a line of 250 bytes for each of 3,012 replicas, on machines with
+//! 0.12 of a core, while its callers waited for the list. With a limit of 4,000 lines per second there was hardly room
+//! for other lines.
 
 #[path = "support/registry_scene.rs"]
 mod registry_scene;
@@ -13,12 +14,12 @@
 
 const REPLICAS: usize = 3012;
 
-/// Lines of a first list, however long it is.
+/// Maximum number of log lines for a first list of any length.
 const MAX_LINES: usize = 110;
 
 static LINES: AtomicUsize = AtomicUsize::new(0);
 
-/// Counts the lines of the level that gateways log at.
+/// Counts log lines at the level at which gateways log.
 struct Counter;
 
 impl log::Log for Counter {
