--- a/crates/gateway/src/cache/follow.rs
+++ b/crates/gateway/src/cache/follow.rs
@@ -33,7 +33,7 @@
 pub async fn run(state: Rc<GatewayState>) {
     let followed: Rc<RefCell<HashSet<SocketAddr>>> = Rc::default();
     loop {
-        state.peers.until_leader().await;
+        state.peers.wait_until_leader().await;
         for store in stores(&state) {
             if followed.borrow_mut().insert(store) {
                 let (state, followed) = (Rc::clone(&state), Rc::clone(&followed));
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -59,7 +59,7 @@
                 state.currency.note_version(query.configuration_version);
                 state
                     .peers
-                    .note_configuration(query.configuration_version, from);
+                    .record_configuration_holder(query.configuration_version, from);
                 state
                     .peers
                     .followers
@@ -90,15 +90,15 @@
                 for prompt in &prompts {
                     state.peers.prompt_relay.gather(prompt);
                 }
-                state.peers.prompt_relay.pass_on(&prompts);
+                state.peers.prompt_relay.forward_to_group(&prompts);
             }
             Some(Message::OtherGroupPrompts(batch)) => {
                 state
                     .peers
                     .relays
-                    .note(&batch.zone, from.to_string(), Instant::now());
+                    .record_report(&batch.zone, from.to_string(), Instant::now());
                 apply_prompts(&state, &batch.prompts);
-                state.peers.prompt_relay.pass_on(&batch.prompts);
+                state.peers.prompt_relay.forward_to_group(&batch.prompts);
             }
             Some(Message::Spread(report)) => {
                 spread::relay(&state, &socket, report, &buffer[..length]).await;
@@ -116,7 +116,7 @@
                 configuration::answer(&state, &socket, &query, from).await;
             }
             Some(Message::ConfigurationReply(told)) => {
-                state.peers.note_configuration(told.version, from);
+                state.peers.record_configuration_holder(told.version, from);
                 // The queue is full: nobody is waiting, or more pieces arrive than were requested.
                 if queues.configuration_replies.try_send(told).is_err() {
                     log::debug!("configuration piece from {from} dropped: the reply queue is full");
@@ -127,7 +127,7 @@
                 state
                     .peers
                     .relays
-                    .note(&usage.group, from.to_string(), Instant::now());
+                    .record_report(&usage.group, from.to_string(), Instant::now());
                 state.quotas.record_group_usage(&usage, Instant::now());
                 state.quotas.queue_group_report(usage);
             }
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -104,7 +104,7 @@
         };
         let pause = match has_more {
             true => Duration::ZERO,
-            false => pause_until_work(&state, chooser.max_view_age()),
+            false => next_pause(&state, chooser.max_view_age()),
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
@@ -115,7 +115,7 @@
 
 /// The time until the next query, until the view is too old, or until a replica whose entry has not come back goes out
 /// of use, whichever is first.
-fn pause_until_work(state: &GatewayState, max_view_age: Duration) -> Duration {
+fn next_pause(state: &GatewayState, max_view_age: Duration) -> Duration {
     let next_lapse = state.registry.next_lapse();
     let until_lapse = next_lapse.map(|at| at.saturating_duration_since(Instant::now()));
     let until_too_old = state
@@ -192,7 +192,7 @@
     answer.unpack();
     adopt_peer_era(state, answer.store_era, &daemon.name);
     if let Ok(address) = daemon.peers.parse() {
-        peers.note_configuration(answer.configuration_version, address);
+        peers.record_configuration_holder(answer.configuration_version, address);
         records::reconcile(state, socket, answer.quarantine_digest, address).await;
     }
     let view_age = answer.view_age_ms.map(Duration::from_millis);
@@ -256,12 +256,14 @@
     }
     apply_weights_and_lease(state, &answer, sent_at);
     apply_changes(state, &answer);
-    let knows_all = state.peers.followed.borrow().knows_all();
-    if knows_all {
-        state.peers.note_daemons_known();
+    let is_complete = state.peers.followed.borrow().is_complete();
+    if is_complete {
+        state.peers.set_daemons_known();
     }
-    if let Some(moment) = moment_before(sent_at, answer.view_age_ms).filter(|_| knows_all) {
-        state.peers.prove_told_view(moment, answer.view_reader_log);
+    if let Some(moment) = moment_before(sent_at, answer.view_age_ms).filter(|_| is_complete) {
+        state
+            .peers
+            .prove_relayed_view(moment, answer.view_reader_log);
     }
     let known = state.configuration_version();
     if known < answer.configuration_version {
--- a/crates/gateway/src/peers/configuration.rs
+++ b/crates/gateway/src/peers/configuration.rs
@@ -115,7 +115,7 @@
     mut replies: Receiver<ConfigurationReply>,
 ) {
     let confirmation = confirm_version(&state, &socket, &mut replies).await;
-    until_newest_held(&state).await;
+    wait_for_newest_version(&state).await;
     allow_keyed_requests(&state);
     if let Confirmation::Unconfirmed { asked } = confirmation {
         ntex::rt::spawn(report_unconfirmed(Rc::clone(&state), asked));
@@ -125,7 +125,7 @@
         let mut pause = INITIAL_RETRY_PAUSE;
         while state.currency.is_outdated(state.configuration_version()) {
             if let Err(error) = transfer_configuration(&state, &socket, &mut replies).await {
-                note_failure(&state, &error);
+                record_failure(&state, &error);
                 tokio::time::sleep(pause).await;
                 pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
@@ -137,7 +137,7 @@
 pub async fn limit_confirmation_wait(state: Rc<GatewayState>) {
     state.currency.until_proved().await;
     tokio::time::sleep(MAX_CONFIRMATION_WAIT).await;
-    until_newest_held(&state).await;
+    wait_for_newest_version(&state).await;
     allow_keyed_requests(&state);
 }
 
@@ -220,7 +220,7 @@
 
 /// Waits until this daemon holds the newest version that others have reported, or a read has shown that the store has
 /// lost it.
-async fn until_newest_held(state: &GatewayState) {
+async fn wait_for_newest_version(state: &GatewayState) {
     if state.configuration_version() >= state.currency.highest() {
         return;
     }
@@ -337,7 +337,7 @@
 }
 
 /// Logs a failure; invalid data from the holder is also counted.
-fn note_failure(state: &GatewayState, error: &TransferError) {
+fn record_failure(state: &GatewayState, error: &TransferError) {
     let reason = match error {
         TransferError::NoHolder
         | TransferError::NoPiece
--- a/crates/gateway/src/peers/followed_log.rs
+++ b/crates/gateway/src/peers/followed_log.rs
@@ -18,7 +18,7 @@
     log_id: u64,
     sequence: u64,
     queried_digest: Option<u64>,
-    knows_all: bool,
+    is_complete: bool,
     unconfirmed: HashSet<ItemKey>,
 }
 
@@ -48,16 +48,16 @@
 
     /// Whether the last reply was complete, so that everything its sender knew is known here. It isn't before the last
     /// page of a transfer, and a partial state must not be passed on as complete.
-    pub fn knows_all(&self) -> bool {
-        self.knows_all
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
     /// Applies a reply; returns the resulting changes to the items `own` of this daemon.
     pub fn apply(&mut self, answer: &SyncReply, own: &ChangeLog) -> Vec<Change> {
-        self.knows_all = false;
+        self.is_complete = false;
         if answer.has_same_items {
             if self.queried_digest == Some(own.content_digest()) {
-                self.knows_all = true;
+                self.is_complete = true;
                 self.set_position(answer);
                 self.unconfirmed.clear();
             }
@@ -69,7 +69,7 @@
             return Vec::new();
         }
         self.set_position(answer);
-        self.knows_all = !answer.has_more;
+        self.is_complete = !answer.has_more;
         for change in &answer.changes {
             self.unconfirmed.remove(&change.key());
         }
--- a/crates/gateway/src/peers/known.rs
+++ b/crates/gateway/src/peers/known.rs
@@ -138,7 +138,7 @@
     }
 
     /// Records that the daemon at `holder` has this version of the configuration.
-    pub(super) fn note_configuration(&self, version: u64, holder: SocketAddr) {
+    pub(super) fn record_configuration_holder(&self, version: u64, holder: SocketAddr) {
         let known = self.configuration_holder.get();
         if version > 0 && known.is_none_or(|(known, _)| known <= version) {
             self.configuration_holder.set(Some((version, holder)));
@@ -185,11 +185,11 @@
 
     /// Records that all daemons are known that another daemon or the store lists. Before that, ranks are meaningless:
     /// some of the known daemons may know less than this one.
-    pub fn note_daemons_known(&self) {
+    pub fn set_daemons_known(&self) {
         self.has_all_daemons.set(true);
     }
 
-    /// Whether every daemon is known, see [`Peers::note_daemons_known`].
+    /// Whether every daemon is known, see [`Peers::set_daemons_known`].
     pub fn are_daemons_known(&self) -> bool {
         self.has_all_daemons.get()
     }
@@ -213,7 +213,7 @@
     }
 
     /// Records that the reader of the whole store with this log id had the known state at `moment`.
-    pub(super) fn prove_told_view(&self, moment: Instant, reader: Option<u64>) {
+    pub(super) fn prove_relayed_view(&self, moment: Instant, reader: Option<u64>) {
         self.view.prove(moment, reader, Instant::now());
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// Waits until this daemon has to read the store itself.
-    pub async fn until_reader(&self) {
+    pub async fn wait_until_reader(&self) {
         while !self.is_reader.get() {
             self.reader_changed.notified().await;
         }
@@ -245,7 +245,7 @@
     }
 
     /// Waits until another daemon reads the store for this one.
-    pub async fn until_follower(&self) {
+    pub async fn wait_until_follower(&self) {
         while self.is_reader.get() {
             self.reader_changed.notified().await;
         }
@@ -279,7 +279,7 @@
     }
 
     /// Waits until this daemon leads its group.
-    pub async fn until_leader(&self) {
+    pub async fn wait_until_leader(&self) {
         while !self.is_leader.get() {
             self.leader_changed.notified().await;
         }
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -63,7 +63,7 @@
         return send_to_group(state, socket, &Message::Prompts(prompts)).await;
     }
     if state.peers.is_leader.get() {
-        return state.peers.prompt_relay.pass_on(&prompts);
+        return state.peers.prompt_relay.forward_to_group(&prompts);
     }
     let leader = state.peers.leader.borrow().clone();
     if let Some(leader) = leader {
--- a/crates/gateway/src/peers/prompt_relay.rs
+++ b/crates/gateway/src/peers/prompt_relay.rs
@@ -58,7 +58,7 @@
     }
 
     /// Adds prompts of another group to the next batch for the members of the own group.
-    pub fn pass_on(&self, prompts: &[WirePrompt]) {
+    pub fn forward_to_group(&self, prompts: &[WirePrompt]) {
         for prompt in prompts {
             self.push(&self.incoming, prompt);
         }
--- a/crates/gateway/src/peers/relays.rs
+++ b/crates/gateway/src/peers/relays.rs
@@ -46,7 +46,7 @@
     }
 
     /// Records that a report of the group `zone` came from the address `from`.
-    pub fn note(&self, zone: &str, from: String, now: Instant) {
+    pub fn record_report(&self, zone: &str, from: String, now: Instant) {
         let mut last_reports = self.last_reports.borrow_mut();
         last_reports.insert(zone.to_owned(), LastReport { from, at: now });
     }
--- a/crates/gateway/src/peers/source.rs
+++ b/crates/gateway/src/peers/source.rs
@@ -148,7 +148,7 @@
             _ => Source::Store,
         };
         self.is_store_next = false;
-        self.record_asked(&source);
+        self.set_current(&source);
         source
     }
 
@@ -222,7 +222,7 @@
             .find(|daemon| !self.silent.contains(&daemon.name))
     }
 
-    fn record_asked(&mut self, source: &Source) {
+    fn set_current(&mut self, source: &Source) {
         let current = match source {
             Source::Store => None,
             Source::Daemon(daemon) => Some(daemon.name.clone()),
--- a/crates/gateway/src/store/configuration_reader.rs
+++ b/crates/gateway/src/store/configuration_reader.rs
@@ -190,7 +190,7 @@
 /// Waits until this gateway reads for others or a proof is requested.
 async fn until_read_needed(state: &GatewayState) {
     tokio::select! {
-        () = state.peers.until_reader() => {}
+        () = state.peers.wait_until_reader() => {}
         () = state.currency.proof_requested() => {}
     }
 }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -58,7 +58,7 @@
     let mut failures = 0;
     let mut changes_at_list = state.store_eras.changes();
     loop {
-        state.peers.until_reader().await;
+        state.peers.wait_until_reader().await;
         let has_era_changed = state.store_eras.changes() != changes_at_list;
         if is_list_deferrable(&state, kind) && !has_era_changed {
             tokio::time::sleep(DEFERRED_LIST_DELAY).await;
@@ -78,7 +78,7 @@
                     error = watch_from(&state, kind, position) => {
                         log::debug!("watch of {kind:?} ended: {error}");
                     }
-                    () = state.peers.until_follower() => {}
+                    () = state.peers.wait_until_follower() => {}
                     () = state.store_outage.ended() => {}
                 }
                 note_following(&state, kind, None);
@@ -223,7 +223,7 @@
 pub fn apply_item_list(state: &GatewayState, kind: ObjectKind, objects: Vec<StoredObject>) {
     state.peers.reset_followed_log();
     if kind == ObjectKind::Daemons {
-        state.peers.note_daemons_known();
+        state.peers.set_daemons_known();
     }
     let listed: HashSet<ItemKey> = objects
         .iter()
