--- a/crates/gateway/tests/configuration_pieces.rs
+++ b/crates/gateway/tests/configuration_pieces.rs
@@ -1,5 +1,5 @@
-//! The document of a configuration on its way from one daemon to another: pieces that are lost, come twice or out of order, are
-//! mixed of two versions, or are none.
+//! Transfers of a configuration's document between daemons: pieces that are lost, duplicated, reordered, mixed from two
+//! versions or invalid.
 
 use bytes::Bytes;
 use driftspring_gateway::configuration::{CallerLimits, Configuration};
@@ -21,7 +21,7 @@
         .with_document(Bytes::from(document))
 }
 
-/// A document without repetition, so that a piece in a wrong place shows.
+/// A document without repetition, so that a misplaced piece is detected.
 fn document(length: usize) -> Vec<u8> {
     let bytes = (0_u64..).flat_map(|number| number.to_le_bytes());
     bytes.take(length).collect()
@@ -35,7 +35,7 @@
     }
 }
 
-/// What a daemon answers that holds this document.
+/// The replies of a daemon that holds this document.
 fn replies(version: u64, document: &[u8], query: &ConfigurationQuery) -> Vec<ConfigurationReply> {
     let held = configuration(version, document.to_vec());
     answers(query, Some(&held), true)
@@ -69,7 +69,7 @@
         MAX_PIECES as usize
     );
     assert_eq!(replies(3, &long, &query_for(99, u32::MAX)).len(), 1);
-    // Beyond the end, or where only the version is asked for, there is one answer without a piece.
+    // Beyond the end, or if only the version is asked for, there is one reply without a piece.
     for query in [
         query_for(100, 5),
         query_for(u32::MAX, u32::MAX),
@@ -103,7 +103,7 @@
     let mut pieces = begin(&one[0]);
     let mixed = pieces.add(other[1].clone());
     assert_eq!(mixed, Err(PieceError::OtherDocument(4)));
-    // Nor where each answer names the same digest.
+    // The same applies if each reply names the same digest.
     let mut forged = other[1].clone();
     forged.digest = one[0].digest;
     for answer in [&one[0], &forged, &one[2]] {
@@ -151,7 +151,8 @@
 }
 
 quickcheck! {
-    /// Whichever datagrams are lost, come twice or in another order: asked for again, the whole document comes, and nothing else.
+    /// Whichever datagrams are lost, duplicated or reordered: once they are requested again, exactly the original
+    /// document is assembled.
     fn a_document_survives_lost_duplicate_and_reordered_datagrams(length: u16, losses: Vec<bool>, rotations: Vec<u8>) -> bool {
         let sent = document(usize::from(length) * 3 + 1);
         let mut pieces = begin(&replies(4, &sent, &query_for(0, 1))[0]);
--- a/crates/gateway/tests/far_prompts.rs
+++ b/crates/gateway/tests/far_prompts.rs
@@ -1,11 +1,11 @@
-//! Which prompts a relay gathers for other groups, and when it wakes.
+//! Which prompts a relay collects for other groups, and when its task wakes.
 
 use std::time::Duration;
 
 use driftspring_gateway::peers::message::WirePrompt;
 use driftspring_gateway::peers::prompt_relay::PromptRelay;
 
-/// Longer than a batch is gathered.
+/// Longer than the delay of a batch.
 const SEVERAL_BATCHES: Duration = Duration::from_millis(300);
 
 fn prompt(tokens: u64) -> WirePrompt {
--- a/crates/gateway/tests/packed.rs
+++ b/crates/gateway/tests/packed.rs
@@ -1,4 +1,4 @@
-//! Replicas packed into pages of changes, and taken out again.
+//! Packing of replicas in pages of changes.
 
 #[path = "support/sync_queries.rs"]
 mod sync_queries;
@@ -18,7 +18,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use sync_queries::{EarlierSyncQuery, earlier_sync_query, sync_query};
 
-/// A question as a daemon knows it that packs replicas in columns.
+/// A query of an earlier version, which packs replicas in columns.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 struct ColumnPackingQuery {
     nonce: u64,
@@ -36,7 +36,7 @@
     accepts_packed: bool,
 }
 
-/// A question of a daemon that understands packed replicas and has the changes of `log` up to `sequence`.
+/// A query of a daemon that accepts packed replicas and has the changes of `log` up to `sequence`.
 fn packed_query(log: u64, sequence: u64) -> SyncQuery {
     SyncQuery {
         accepts_packed: true,
@@ -44,7 +44,7 @@
     }
 }
 
-/// The bytes of a page of changes in an answer, and those of the rest of it.
+/// The space for a page of changes in a datagram; the remaining bytes are for the rest of the reply.
 const PAGE_BYTES: usize = MAX_DATAGRAM_BYTES - 350;
 
 #[derive(Clone, Debug)]
@@ -135,7 +135,7 @@
     keyed.collect()
 }
 
-/// The answer as the asking daemon reads it.
+/// The reply as the querying daemon decodes it.
 fn round_trip(reply: SyncReply) -> SyncReply {
     let bytes = Message::SyncReply(Box::new(reply))
         .encode()
@@ -207,7 +207,7 @@
     }
 }
 
-/// The fields of rows as they are told.
+/// The encoded fields of rows.
 #[derive(Debug, Encode, Decode)]
 struct RowParts {
     #[musli(bytes)]
@@ -280,7 +280,7 @@
     assert!(!read.accepts_packed, "it does not tell columns");
 }
 
-/// A question of a daemon that has the first `sequence` changes of a log.
+/// A query of a daemon that has the first `sequence` changes of a log.
 fn query_after(log: &ChangeLog, sequence: u64) -> SyncQuery {
     packed_query(log.id(), sequence)
 }
--- a/crates/gateway/tests/peer_sources.rs
+++ b/crates/gateway/tests/peer_sources.rs
@@ -1,4 +1,4 @@
-//! Which daemon another one asks for what is in force, and when the store counts as down for all.
+//! The choice of the daemon that another one queries, and the detection of a store that is down for all.
 
 #[path = "support/daemons.rs"]
 mod daemons;
@@ -167,7 +167,7 @@
     assert_eq!(leader(&chooser), Some(group[0].name.clone()));
 }
 
-/// A group of 20 among 40 daemons, and the first of the other group.
+/// A group of 20 out of 40 daemons, and the first daemon of the other group.
 fn large_group() -> (Vec<WireDaemon>, Vec<WireDaemon>) {
     let daemons = in_zones(40, &["a", "b"]);
     let directory = Directory::new(&daemons, &daemons[0]);
@@ -175,8 +175,8 @@
     (directory.group, others)
 }
 
-/// Whom the daemon of rank `own` asks while all that it asks know nothing recent, until it has nobody left; the last
-/// one is what it does then.
+/// The daemons that the one of rank `own` queries, none of which has a recent view, until no other is left; the last
+/// element is its choice then.
 fn queried_in_an_outage(own: usize) -> Vec<Option<String>> {
     let (group, others) = large_group();
     let mut chooser = SourceChooser::default();
@@ -205,7 +205,7 @@
     let (group, others) = large_group();
     let name = |place: usize| Some(group[place].name.clone());
     let other = Some(others[0].name.clone());
-    // The first of the group before reads the store for this group too, so it is asked before the store is called.
+    // The first of the group ahead reads the store for this group too, so it is queried before the store is called.
     let reader = [name(0), other, None, name(2), name(3), None];
     assert_eq!(queried_in_an_outage(1), reader);
     let member = [name(0), name(1), name(2), name(3), name(0)];
@@ -238,7 +238,7 @@
 #[test]
 fn a_reader_that_is_cut_off_is_skipped_in_time_to_learn_of_leaving_replicas() {
     let (large, others) = large_group();
-    // (group, others, a view that is recent enough, one that is too old), in milliseconds.
+    // (group, others, age of a recent enough view, age of one that is too old), in milliseconds.
     let cases = [
         (large, others, 1600, 1900),
         (group(), Vec::new(), 1300, 1500),
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other: the change log and the encoding.
+//! The change log that daemons follow, and the encoding of their datagrams.
 
 #[path = "support/sync_queries.rs"]
 mod sync_queries;
@@ -79,7 +79,7 @@
     log.items().map(|item| (item.key(), item.clone())).collect()
 }
 
-/// What a daemon with this log answers, three changes a page.
+/// The reply of a daemon with this log, three changes per page.
 fn answer(log: &ChangeLog, query: &SyncQuery) -> SyncReply {
     let mut count = 0;
     let page = log.page(query, |_| {
@@ -146,7 +146,7 @@
     log.put(replica(2, 1));
     let mut follower = Follower::new();
     follower.catch_up(&log);
-    // It reads the store itself while the entries have lapsed, which its source never sees.
+    // It reads the store itself while the entries are expired, which its source never sees.
     follower.followed.reset();
     follower.own.remove(&ItemKey::Replica("r1".to_owned()));
     follower.catch_up(&log);
--- a/crates/gateway/tests/readers.rs
+++ b/crates/gateway/tests/readers.rs
@@ -1,8 +1,9 @@
 //! Which daemons read the store while it refuses some of them.
 //!
-//! The store was silent for the first in rank of a group for 9 s. The second read it instead, and asked the first again whenever its
-//! time of being passed over had ended. The first told what it had learnt from the second, with an age of less than a
-//! second, so the second followed it and stopped reading. Both views became too old, and both began to read and list anew.
+//! The tests guard against readers that alternate in an outage for the first in rank of a group (9 s). The second read
+//! the store instead and queried the first again after each skip period. The first relayed the second's own view, less
+//! than a second old, so the second followed it and stopped reading. Both views became too old, and both started
+//! reading and listed everything again.
 
 #[path = "support/daemons.rs"]
 #[allow(dead_code, reason = "each test file uses a part")]
@@ -15,21 +16,21 @@
 use driftspring_gateway::peers::message::WireDaemon;
 use driftspring_gateway::peers::source::{Source, SourceChooser};
 
-/// The time between two reads of a daemon that reads for others.
+/// The time between two reads of a reader.
 const READ_INTERVAL: Duration = Duration::from_millis(900);
 
-/// The time to the next question where the last one was of no use.
+/// The time to the next query after one without a usable reply.
 const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The time to the next question where the last one was answered.
+/// The time to the next query after a usable reply.
 const ASK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Daemons of a group that may read the store where there are several groups.
+/// The number of daemons of a group that may read the store if there are several groups.
 const READERS: usize = 4;
 
 const STEP: Duration = Duration::from_millis(5);
 
-/// When a daemon read the store whose view another one has, and which daemon that is.
+/// The time of the read from which a view comes, and the daemon that read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct View {
     read_at: Duration,
@@ -43,7 +44,7 @@
     next_query_at: Duration,
     reading_since: Option<Duration>,
     view: Option<View>,
-    /// How often it began to read the store, which lists everything.
+    /// How many times it started reading the store, which lists everything.
     list_count: usize,
 }
 
@@ -64,7 +65,7 @@
         self.view.as_ref().map(|view| now - view.read_at)
     }
 
-    /// Reads the store, where it is time for that and the store answers.
+    /// Reads the store if a read is due.
     fn read(&mut self, now: Duration) {
         let is_due = self
             .view
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Asks once; `views` holds what each daemon knows.
+    /// Queries once; `views` holds the views of all daemons.
     fn ask(&mut self, now: Duration, is_failing: bool, views: &[(String, Option<View>)]) {
         if is_failing && self.reading_since.is_none() {
             self.chooser.on_store_failing(now, &self.own.name);
@@ -125,7 +126,7 @@
     }
 }
 
-/// Plays daemons until `until`; the store refuses those of which `is_refused` is true from `since` on.
+/// Simulates daemons until `until`; the store refuses those for which `is_refused` is true from `since` on.
 fn simulate(
     daemons: &[WireDaemon],
     since: Duration,
@@ -148,7 +149,7 @@
             if !is_failing {
                 member.read(now);
             }
-            // Daemons don't ask at the same moment.
+            // Daemons query at different moments.
             let offset = STEP * u32::try_from(number % 20).unwrap_or(0);
             if now >= member.next_query_at + offset {
                 member.ask(now, is_failing, &views);
@@ -159,8 +160,8 @@
     members
 }
 
-/// How often each daemon begins to read the store, and so lists everything, while it is silent for 9 s for the first in rank of each
-/// group.
+/// How many times each daemon starts reading the store, and so lists everything, while the store doesn't answer the
+/// first in rank of each group for 9 s.
 fn lists_in_outage(daemons: &[WireDaemon]) -> Vec<usize> {
     let is_first = |member: &Member| member.directory.group[0].name == member.own.name;
     let healthy_period = Duration::from_secs(5);
@@ -198,7 +199,8 @@
     }
 }
 
-/// Five groups had a reader each: 586 of 1,214 calls to the store in 49 s were its reads of the configuration, one each 0.9 s.
+/// Guards against one reader per group: with five groups, 586 of 1,214 calls to the store in 49 s were the readers'
+/// reads of the configuration, one every 0.9 s each.
 #[test]
 fn one_daemon_reads_the_store_for_all_groups() {
     for (count, zones) in [(20, &["a", "b", "c", "d", "e"][..]), (60, &["a", "b", "c"])] {
--- a/crates/gateway/tests/restart_of_all.rs
+++ b/crates/gateway/tests/restart_of_all.rs
@@ -1,12 +1,14 @@
-//! Who reads the store after all daemons of a large system were killed at once.
+//! Which daemons read the store after all daemons of a large system were killed at once.
 //!
-//! Each daemon that had just started asked the first of its group, which knew nothing yet, and took that for silence: so it made
-//! room for readers behind it, until some hundred of 300 daemons listed all of 3,000 replicas. The store's link, 1,000 Mbit/s,
-//! was full for three seconds by these lists and those that each daemon begins with, and nothing was served.
+//! The tests guard against two failures. Each daemon that had just started queried the first of its group, which had no
+//! view yet, and treated that as a time-out. So it promoted readers further behind, until about a hundred of 300
+//! daemons listed all of 3,000 replicas. These lists and those that each daemon starts with filled the store's link,
+//! 1,000 Mbit/s, for three seconds, and nothing was served.
 //!
-//! Later all of 100 members asked one reader for all pages, while another one with as large a machine knew the same 0.03 s later. The
-//! first page came to the members 0.7 s after their start in the median, the last one 1.65 s after it; the first member, which was
-//! nearly alone, needed 0.54 s for all pages, the others 0.9 s in the median.
+//! Later all of 100 members queried one reader for all pages, although another one with an equally large machine had
+//! the same view 0.03 s later. The members got the first page 0.7 s after their start in the median and the last one
+//! 1.65 s after it; the first member, which was almost alone, needed 0.54 s for all pages, the others 0.9 s in the
+//! median.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,22 +17,22 @@
 use driftspring_gateway::peers::message::WireDaemon;
 use driftspring_gateway::peers::source::{Source, SourceChooser};
 
-/// Daemons of each zone.
+/// The number of daemons in each zone.
 const MEMBERS: usize = 100;
 
-/// Daemons that may read the store for a group where there are several: the first four that answer.
+/// The number of daemons that may read the store for a group if there are several: the first four that reply.
 const READERS: usize = 4;
 
-/// How long a list of 3,000 replicas takes a machine with a link of 10 Mbit/s.
+/// The duration of a list of 3,000 replicas on a machine with a link of 10 Mbit/s.
 const LIST_DURATION: Duration = Duration::from_millis(1000);
 
-/// Served within so long of the start.
+/// The time after the start within which requests must be served.
 const SERVING_DEADLINE: Duration = Duration::from_secs(2);
 
-/// The time to the next question where the last one was of no use.
+/// The time to the next query after one without a usable reply.
 const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The time to the next question where nobody is left to be asked, or the last one was answered.
+/// The time to the next query if no other daemon is left to query, or after a usable reply.
 const ASK_INTERVAL: Duration = Duration::from_millis(500);
 
 struct Member {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Takes the next step at `now`; `known` are the names of those that know all replicas.
+    /// Advances to `now`; `informed` holds the names of the daemons that have all replicas.
     fn step(&mut self, now: Duration, directory: &Directory, informed: &BTreeSet<String>) {
         if self
             .reading_since
@@ -88,7 +90,7 @@
     }
 }
 
-/// The members of one group of three, which all start at once; the other groups know nothing at all.
+/// Simulates the members of one of three groups, which all start at once; the other groups have no view.
 fn simulate(until: Duration, is_refused: impl Fn(usize) -> bool) -> Vec<Member> {
     let daemons: Vec<WireDaemon> = (0..3 * MEMBERS)
         .map(|number| WireDaemon {
@@ -141,10 +143,11 @@
     );
 }
 
-/// Machines of each zone with a larger link and processor than the others.
+/// The number of machines in each zone with more capacity than the others.
 const LARGE_MACHINES: usize = 2;
 
-/// How many members of a group ask each of the others, where `LARGE` of its daemons can carry more and all have started just now.
+/// How many members of a group query each of the others, if [`LARGE_MACHINES`] of its daemons have more capacity and
+/// all have just started.
 fn asked_by_members(is_silent: impl Fn(&str) -> bool) -> BTreeMap<String, usize> {
     let daemons: Vec<WireDaemon> = (0..3 * MEMBERS)
         .map(|number| WireDaemon {
--- a/crates/gateway/tests/spread.rs
+++ b/crates/gateway/tests/spread.rs
@@ -1,4 +1,4 @@
-//! How reports reach every member of a group, and whom of other groups.
+//! How reports reach every member of a group, and which daemons of other groups receive them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -25,7 +25,7 @@
         .collect()
 }
 
-/// How often each member gets a report that `root` sends, and the most that one member sends.
+/// How many times each member receives a report that `root` originates, and the most copies that one member sends.
 fn spread(
     daemons: &[WireDaemon],
     root: &WireDaemon,
--- a/crates/gateway/tests/support/daemons.rs
+++ b/crates/gateway/tests/support/daemons.rs
@@ -1,8 +1,8 @@
-//! Daemons of several zones, all of equal machines.
+//! Daemons in several zones with machines of equal capacity.
 
 use driftspring_gateway::peers::message::WireDaemon;
 
-/// A daemon of a zone.
+/// A daemon in a zone.
 pub fn daemon(name: &str, zone: &str) -> WireDaemon {
     WireDaemon {
         name: name.to_owned(),
@@ -12,7 +12,7 @@
     }
 }
 
-/// So many daemons, in the zones in turn.
+/// `count` daemons, assigned to the zones in turn.
 pub fn in_zones(count: usize, zones: &[&str]) -> Vec<WireDaemon> {
     (0..count)
         .map(|number| daemon(&format!("d{number}"), zones[number % zones.len()]))
