--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -115,10 +115,10 @@
             Some(Message::ConfigurationQuery(query)) => {
                 configuration::answer(&state, &socket, &query, from).await;
             }
-            Some(Message::ConfigurationReply(told)) => {
-                state.peers.record_configuration_holder(told.version, from);
+            Some(Message::ConfigurationReply(reply)) => {
+                state.peers.record_configuration_holder(reply.version, from);
                 // The queue is full: nobody is waiting, or more pieces arrive than were requested.
-                if queues.configuration_replies.try_send(told).is_err() {
+                if queues.configuration_replies.try_send(reply).is_err() {
                     log::debug!("configuration piece from {from} dropped: the reply queue is full");
                 }
             }
@@ -133,25 +133,25 @@
             }
             Some(Message::Strikes(strikes)) => records::apply_strikes(&state, &strikes),
             Some(Message::Cleared(cleared)) => records::apply_cleared(&state, &cleared),
-            Some(Message::Records(told)) => {
-                let has_news = records::apply_records(&state, &told.records);
-                if has_news && told.is_for_group {
-                    spread(&state, &socket, Report::Records(told.records)).await;
+            Some(Message::Records(received)) => {
+                let has_news = records::apply_records(&state, &received.records);
+                if has_news && received.is_for_group {
+                    spread(&state, &socket, Report::Records(received.records)).await;
                 }
             }
             Some(Message::LoadStatus(status)) => {
                 apply_load_status(&state, &status);
                 spread(&state, &socket, Report::LoadStatus(status)).await;
             }
-            Some(Message::Notices(told)) => {
-                notices::apply(&state, &told);
-                spread(&state, &socket, Report::Notices(told)).await;
+            Some(Message::Notices(notices)) => {
+                notices::apply(&state, &notices);
+                spread(&state, &socket, Report::Notices(notices)).await;
             }
-            Some(Message::Reminder(told)) => notices::apply(&state, &told),
+            Some(Message::Reminder(notices)) => notices::apply(&state, &notices),
             Some(Message::PermitQuery(query)) => {
                 permits::answer(&state, &socket, &query, from).await;
             }
-            Some(Message::PermitReply(told)) => permits::apply(&state, told),
+            Some(Message::PermitReply(reply)) => permits::apply(&state, reply),
             None => {
                 let (name, reason) = (from.to_string(), UnreadableReason::Bytes);
                 state.reject(
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -45,13 +45,13 @@
 /// The minimum time between two queries.
 const MIN_ASK_INTERVAL: Duration = Duration::from_millis(25);
 
-type Answers = tokio::sync::mpsc::UnboundedReceiver<SyncReply>;
+type Replies = tokio::sync::mpsc::UnboundedReceiver<SyncReply>;
 
 /// Queries the source in an endless loop.
 pub(super) async fn ask(
     state: Rc<GatewayState>,
     socket: Rc<tokio::net::UdpSocket>,
-    mut answers: Answers,
+    mut replies: Replies,
 ) {
     let mut chooser = SourceChooser::default();
     loop {
@@ -83,7 +83,7 @@
         state.peers.source.replace(source.address());
         let has_more = match source {
             Source::Daemon(daemon) => {
-                ask_daemon(&state, &socket, &daemon, &mut chooser, &mut answers).await
+                ask_daemon(&state, &socket, &daemon, &mut chooser, &mut replies).await
             }
             Source::Store => {
                 let reading = state.now().saturating_sub(state.peers.reader_since.get());
@@ -162,7 +162,7 @@
     socket: &tokio::net::UdpSocket,
     daemon: &WireDaemon,
     chooser: &mut SourceChooser,
-    answers: &mut Answers,
+    replies: &mut Replies,
 ) -> bool {
     let peers = &state.peers;
     let nonce = peers.next_nonce();
@@ -182,24 +182,24 @@
     });
     let sent_at = Instant::now();
     send(socket, &query, &daemon.peers).await;
-    let answer = tokio::time::timeout(ANSWER_TIMEOUT, matching_reply(answers, nonce)).await;
-    let Ok(Some(mut answer)) = answer else {
+    let reply = tokio::time::timeout(ANSWER_TIMEOUT, matching_reply(replies, nonce)).await;
+    let Ok(Some(mut reply)) = reply else {
         chooser.on_timeout(state.now());
         chooser.on_unusable_reply(peers.view_age());
         peers.ask_now.notify_one();
         return false;
     };
-    answer.unpack();
-    adopt_peer_era(state, answer.store_era, &daemon.name);
+    reply.unpack();
+    adopt_peer_era(state, reply.store_era, &daemon.name);
     if let Ok(address) = daemon.peers.parse() {
-        peers.record_configuration_holder(answer.configuration_version, address);
-        records::reconcile(state, socket, answer.quarantine_digest, address).await;
+        peers.record_configuration_holder(reply.configuration_version, address);
+        records::reconcile(state, socket, reply.quarantine_digest, address).await;
     }
-    let view_age = answer.view_age_ms.map(Duration::from_millis);
-    if let Some(at) = moment_before(sent_at, answer.store_down_age_ms) {
+    let view_age = reply.view_age_ms.map(Duration::from_millis);
+    if let Some(at) = moment_before(sent_at, reply.store_down_age_ms) {
         state.weights.borrow_mut().note_store_down(at);
     }
-    let proof_age = answer.proof_age_ms.map(Duration::from_millis);
+    let proof_age = reply.proof_age_ms.map(Duration::from_millis);
     if !chooser.on_reply(state.now(), view_age, proof_age) {
         chooser.on_unusable_reply(peers.view_age());
         if !chooser.is_last_resort() {
@@ -210,7 +210,7 @@
         return false;
     }
     let own_log = peers.log.borrow().id();
-    if answer.view_reader_log == Some(own_log) {
+    if reply.view_reader_log == Some(own_log) {
         log::debug!(
             "{} relays the view of this daemon; querying another one",
             daemon.name
@@ -222,7 +222,7 @@
     if peers
         .followed
         .borrow()
-        .has_older_view(&answer, peers.view_age())
+        .has_older_view(&reply, peers.view_age())
     {
         log::debug!(
             "the view of {} is {view_age:?} old, older than the own one; querying another daemon",
@@ -233,41 +233,41 @@
         return false;
     }
     set_source(state, &Source::Daemon(daemon.clone()));
-    apply_reply(state, answer, sent_at).await
+    apply_reply(state, reply, sent_at).await
 }
 
-async fn matching_reply(answers: &mut Answers, nonce: u64) -> Option<SyncReply> {
+async fn matching_reply(replies: &mut Replies, nonce: u64) -> Option<SyncReply> {
     loop {
-        let answer = answers.recv().await?;
-        if answer.nonce == nonce {
-            return Some(answer);
+        let reply = replies.recv().await?;
+        if reply.nonce == nonce {
+            return Some(reply);
         }
     }
 }
 
 /// Applies a reply; true if more changes follow.
-async fn apply_reply(state: &Rc<GatewayState>, answer: SyncReply, sent_at: Instant) -> bool {
-    let proof = proof_in(&answer, sent_at);
+async fn apply_reply(state: &Rc<GatewayState>, reply: SyncReply, sent_at: Instant) -> bool {
+    let proof = proof_in(&reply, sent_at);
     if let Some((began, position)) =
         proof.and_then(|proof| Some((proof.started_at, proof.position?)))
     {
         let mut progress = state.store_progress.borrow_mut();
         progress.note(began, position);
     }
-    apply_weights_and_lease(state, &answer, sent_at);
-    apply_changes(state, &answer);
+    apply_weights_and_lease(state, &reply, sent_at);
+    apply_changes(state, &reply);
     let is_complete = state.peers.followed.borrow().is_complete();
     if is_complete {
         state.peers.set_daemons_known();
     }
-    if let Some(moment) = moment_before(sent_at, answer.view_age_ms).filter(|_| is_complete) {
+    if let Some(moment) = moment_before(sent_at, reply.view_age_ms).filter(|_| is_complete) {
         state
             .peers
-            .prove_relayed_view(moment, answer.view_reader_log);
+            .prove_relayed_view(moment, reply.view_reader_log);
     }
     let known = state.configuration_version();
-    if known < answer.configuration_version {
-        let version = answer.configuration_version;
+    if known < reply.configuration_version {
+        let version = reply.configuration_version;
         match proof {
             Some(proof) => state
                 .currency
@@ -277,22 +277,22 @@
                 state.currency.request_proof();
             }
         }
-        return answer.has_more;
+        return reply.has_more;
     }
-    if known == answer.configuration_version
+    if known == reply.configuration_version
         && let Some(proof) = proof
     {
         state.currency.prove(known, proof);
     }
     state.refresh_readiness();
-    answer.has_more
+    reply.has_more
 }
 
 /// The read that proved the configuration in a reply.
-fn proof_in(answer: &SyncReply, sent_at: Instant) -> Option<Proof> {
-    let started_at = moment_before(sent_at, answer.proof_age_ms)?;
-    let position = answer.proof_revision.map(|revision| StorePosition {
-        era: StoreEra::from_number(answer.store_era),
+fn proof_in(reply: &SyncReply, sent_at: Instant) -> Option<Proof> {
+    let started_at = moment_before(sent_at, reply.proof_age_ms)?;
+    let position = reply.proof_revision.map(|revision| StorePosition {
+        era: StoreEra::from_number(reply.store_era),
         revision,
     });
     Some(Proof {
@@ -302,10 +302,10 @@
 }
 
 /// The store's position according to a reply.
-fn position_in(answer: &SyncReply) -> StorePosition {
+fn position_in(reply: &SyncReply) -> StorePosition {
     StorePosition {
-        era: StoreEra::from_number(answer.store_era),
-        revision: answer.store_revision,
+        era: StoreEra::from_number(reply.store_era),
+        revision: reply.store_revision,
     }
 }
 
@@ -314,34 +314,34 @@
 }
 
 /// The weights in a reply, and since when they are wanted.
-fn weights_in(told: &WireWeights, sent_at: Instant) -> (ModelVersion, Since) {
+fn weights_in(wire: &WireWeights, sent_at: Instant) -> (ModelVersion, Since) {
     let weights = ModelVersion {
-        model: told.model.clone(),
-        version: told.version,
+        model: wire.model.clone(),
+        version: wire.version,
     };
     // The age kept growing while the reply was in transit; the transit time of the query is added too, to be safe.
-    let since = moment_before(sent_at, Some(told.age_ms)).unwrap_or(sent_at);
-    let since = match told.is_assumed {
+    let since = moment_before(sent_at, Some(wire.age_ms)).unwrap_or(sent_at);
+    let since = match wire.is_assumed {
         true => Since::Assumed(since),
         false => Since::Known(since),
     };
     (weights, since)
 }
 
-fn apply_weights_and_lease(state: &GatewayState, answer: &SyncReply, sent_at: Instant) {
-    for told in &answer.weights {
-        let (named, since) = weights_in(told, sent_at);
+fn apply_weights_and_lease(state: &GatewayState, reply: &SyncReply, sent_at: Instant) {
+    for wire in &reply.weights {
+        let (named, since) = weights_in(wire, sent_at);
         record_wanted_weights(state, &named, since);
     }
-    for told in &answer.suspected_weights {
-        let (weights, since) = weights_in(told, sent_at);
+    for wire in &reply.suspected_weights {
+        let (weights, since) = weights_in(wire, sent_at);
         suspect_weights(state, Suspicion { weights, since }, "told by a daemon");
     }
-    if let Some(moment) = moment_before(sent_at, answer.view_age_ms) {
+    if let Some(moment) = moment_before(sent_at, reply.view_age_ms) {
         state.known_namings.note_told(moment);
     }
-    state.lease.borrow_mut().on_token(answer.highest_token);
-    if let Some(lease) = &answer.lease {
+    state.lease.borrow_mut().on_token(reply.highest_token);
+    if let Some(lease) = &reply.lease {
         let record = LeaseRecord {
             holder: lease.holder.clone(),
             incarnation: lease.incarnation,
@@ -351,7 +351,7 @@
         };
         let now = state.now();
         let mut known = state.lease.borrow_mut();
-        known.on_store_position(now, position_in(answer));
+        known.on_store_position(now, position_in(reply));
         let position = StorePosition {
             era: StoreEra::from_number(lease.era),
             revision: lease.revision,
@@ -362,15 +362,15 @@
     }
 }
 
-fn apply_changes(state: &GatewayState, answer: &SyncReply) {
+fn apply_changes(state: &GatewayState, reply: &SyncReply) {
     let changes = {
         let own = state.peers.log.borrow();
-        state.peers.followed.borrow_mut().apply(answer, &own)
+        state.peers.followed.borrow_mut().apply(reply, &own)
     };
     for change in changes {
         state.apply(change);
     }
-    if !answer.has_more {
+    if !reply.has_more {
         state.publish_changes();
     }
 }
--- a/crates/gateway/src/peers/cached.rs
+++ b/crates/gateway/src/peers/cached.rs
@@ -76,8 +76,8 @@
 }
 
 /// Applies changes from the leader.
-pub(super) fn apply(state: &GatewayState, told: &[WireCached]) {
-    for news in told.iter().filter_map(WireCached::to_news) {
+pub(super) fn apply(state: &GatewayState, updates: &[WireCached]) {
+    for news in updates.iter().filter_map(WireCached::to_news) {
         state.cached.take(&news);
     }
 }
--- a/crates/gateway/src/peers/configuration.rs
+++ b/crates/gateway/src/peers/configuration.rs
@@ -75,10 +75,10 @@
     #[error(transparent)]
     Unreadable(#[from] Unreadable),
     /// The document has another version than the replies.
-    #[error("the replies name version {told}, but the document has version {read}")]
+    #[error("the replies name version {announced}, but the document has version {read}")]
     OtherVersion {
         /// The version in the replies.
-        told: u64,
+        announced: u64,
         /// The version of the document.
         read: u64,
     },
@@ -326,13 +326,13 @@
 
 /// Parses the document like one from the store.
 fn read(state: &GatewayState, pieces: ConfigurationPieces) -> Result<Configuration, TransferError> {
-    let told = pieces.version();
+    let announced = pieces.version();
     let document = pieces.into_document()?;
     let configuration = state.platform.read_configuration(&document)?;
     let read = configuration.version;
-    match read == told {
+    match read == announced {
         true => Ok(configuration),
-        false => Err(TransferError::OtherVersion { told, read }),
+        false => Err(TransferError::OtherVersion { announced, read }),
     }
 }
 
--- a/crates/gateway/src/peers/configuration_message.rs
+++ b/crates/gateway/src/peers/configuration_message.rs
@@ -69,7 +69,7 @@
         0 => 0,
         _ => document_digest(document),
     };
-    let tell = |piece: Option<ConfigurationPiece>| ConfigurationReply {
+    let reply_with = |piece: Option<ConfigurationPiece>| ConfigurationReply {
         nonce: query.nonce,
         version,
         is_settled,
@@ -80,10 +80,10 @@
     let count = query.pieces.min(MAX_PIECES);
     let last = query.first_piece.saturating_add(count);
     let pieces = (query.first_piece..last).map_while(|number| piece_of(document, number));
-    let told: Vec<ConfigurationReply> = pieces.map(|piece| tell(Some(piece))).collect();
-    match told.is_empty() {
-        true => vec![tell(None)],
-        false => told,
+    let replies: Vec<ConfigurationReply> = pieces.map(|piece| reply_with(Some(piece))).collect();
+    match replies.is_empty() {
+        true => vec![reply_with(None)],
+        false => replies,
     }
 }
 
--- a/crates/gateway/src/peers/configuration_pieces.rs
+++ b/crates/gateway/src/peers/configuration_pieces.rs
@@ -43,14 +43,14 @@
     /// # Errors
     ///
     /// The document is too long, or empty.
-    pub fn begin(told: &ConfigurationReply) -> Result<Self, PieceError> {
-        if told.length == 0 || told.length > MAX_DOCUMENT_BYTES {
-            return Err(PieceError::Length(told.length));
+    pub fn begin(reply: &ConfigurationReply) -> Result<Self, PieceError> {
+        if reply.length == 0 || reply.length > MAX_DOCUMENT_BYTES {
+            return Err(PieceError::Length(reply.length));
         }
         Ok(Self {
-            version: told.version,
-            digest: told.digest,
-            length: told.length,
+            version: reply.version,
+            digest: reply.digest,
+            length: reply.length,
             bytes: Vec::new(),
             out_of_order: BTreeMap::new(),
         })
@@ -76,13 +76,13 @@
     /// # Errors
     ///
     /// The piece doesn't match the earlier ones: the whole document must be discarded.
-    pub fn add(&mut self, told: ConfigurationReply) -> Result<(), PieceError> {
+    pub fn add(&mut self, reply: ConfigurationReply) -> Result<(), PieceError> {
         let is_same =
-            (told.version, told.digest, told.length) == (self.version, self.digest, self.length);
+            (reply.version, reply.digest, reply.length) == (self.version, self.digest, self.length);
         if !is_same {
-            return Err(PieceError::OtherDocument(told.version));
+            return Err(PieceError::OtherDocument(reply.version));
         }
-        let Some(piece) = told.piece else {
+        let Some(piece) = reply.piece else {
             return Ok(());
         };
         if self.size_of(piece.number) != Some(piece.bytes.len()) {
--- a/crates/gateway/src/peers/known.rs
+++ b/crates/gateway/src/peers/known.rs
@@ -269,13 +269,13 @@
         if self.may_read.get() {
             return true;
         }
-        let until_told = async {
+        let until_informed = async {
             while self.view_age().is_none() {
                 tokio::time::sleep(FIRST_LIST_POLL).await;
             }
         };
-        let told = tokio::time::timeout(FIRST_LIST_TIMEOUT, until_told).await;
-        told.is_err()
+        let result = tokio::time::timeout(FIRST_LIST_TIMEOUT, until_informed).await;
+        result.is_err()
     }
 
     /// Waits until this daemon leads its group.
--- a/crates/gateway/src/peers/notices.rs
+++ b/crates/gateway/src/peers/notices.rs
@@ -74,8 +74,8 @@
     let now = Instant::now();
     let first = (state.peers.next_rotation() as usize * MAX_REMINDER_NOTICES) % replicas.len();
     let others = replicas.iter().cycle().skip(first);
-    let told = others.take(MAX_REMINDER_NOTICES.min(replicas.len()));
-    let notices: Vec<WireNotice> = told.map(|replica| to_wire(replica, now)).collect();
+    let selected = others.take(MAX_REMINDER_NOTICES.min(replicas.len()));
+    let notices: Vec<WireNotice> = selected.map(|replica| to_wire(replica, now)).collect();
     for notices in notices.chunks(MAX_NOTICES) {
         send_to(socket, &Message::Reminder(notices.to_vec()), to).await;
     }
@@ -123,12 +123,12 @@
             record_leaving(state, &replica, NoticeSource::Peer);
         }
         if let Some(limit) = &notice.limit {
-            let told = LimitNotice {
+            let limit_notice = LimitNotice {
                 rate: limit.thousandths.map(RequestRate::from_thousandths),
                 sent_at: ago(limit.sent_age_ms),
                 received_at: ago(limit.heard_age_ms),
             };
-            record_limit(state, &replica, told, NoticeSource::Peer);
+            record_limit(state, &replica, limit_notice, NoticeSource::Peer);
         }
     }
 }
--- a/crates/gateway/src/peers/permits.rs
+++ b/crates/gateway/src/peers/permits.rs
@@ -36,17 +36,17 @@
         None => Err(Duration::ZERO),
     };
     let wait = issued.err().unwrap_or_default();
-    let told = WirePermitReply {
+    let reply = WirePermitReply {
         nonce: query.nonce,
         daemon: name_digest(&state.peers.own().name),
         is_granted: issued.is_ok(),
         wait_ms: to_ms(wait),
     };
-    send_to(socket, &Message::PermitReply(told), from).await;
+    send_to(socket, &Message::PermitReply(reply), from).await;
 }
 
 /// Applies a reply.
-pub(super) fn apply(state: &GatewayState, told: WirePermitReply) {
-    state.permits.record_answer(told.daemon);
-    state.permits.queries.complete(told);
+pub(super) fn apply(state: &GatewayState, reply: WirePermitReply) {
+    state.permits.record_answer(reply.daemon);
+    state.permits.queries.complete(reply);
 }
--- a/crates/gateway/src/peers/quarantine_message.rs
+++ b/crates/gateway/src/peers/quarantine_message.rs
@@ -63,14 +63,14 @@
     pub stored_era: Option<u64>,
     /// The number of complete answers since the first strike.
     #[musli(default)]
-    pub good_ends: u32,
+    pub completions: u32,
     /// How many times it was tried in isolation from other requests with the same strikes.
     #[musli(default)]
-    pub apart_trials: u32,
+    pub isolated_trials: u32,
     /// How long ago the last such trial started, in milliseconds.
     #[musli(default)]
-    pub apart_age_ms: Option<u64>,
-    /// The value of [`WireRecord::apart_trials`] in the object in the store.
+    pub isolated_trial_age_ms: Option<u64>,
+    /// The value of [`WireRecord::isolated_trials`] in the object in the store.
     #[musli(default)]
-    pub stored_apart_trials: u32,
+    pub stored_isolated_trials: u32,
 }
--- a/crates/gateway/src/peers/records.rs
+++ b/crates/gateway/src/peers/records.rs
@@ -167,14 +167,14 @@
     }
     let now = state.quarantine.now();
     let directory = state.peers.directory();
-    for told in strikes {
+    for wire_strike in strikes {
         let strike = Strike {
-            replica: told.replica,
-            at: moment(now, told.age_ms),
+            replica: wire_strike.replica,
+            at: moment(now, wire_strike.age_ms),
             is_coincident: false,
-            began_at: began_at(now, told.age_ms, told.ran_ms),
+            began_at: began_at(now, wire_strike.age_ms, wire_strike.ran_ms),
         };
-        let fingerprint = Fingerprint::from_number(told.fingerprint);
+        let fingerprint = Fingerprint::from_number(wire_strike.fingerprint);
         let role = role(&directory, fingerprint, state.peers.own());
         state
             .quarantine
@@ -195,33 +195,33 @@
     let now = state.quarantine.now();
     let directory = state.peers.directory();
     let mut has_news = false;
-    for told in records {
-        let strikes = told.strikes.iter();
+    for wire_record in records {
+        let strikes = wire_record.strikes.iter();
         let record = Record {
-            generation: told.generation,
+            generation: wire_record.generation,
             strikes: strikes
-                .map(|told| Strike {
-                    replica: told.replica,
-                    at: moment(now, told.age_ms),
-                    is_coincident: told.is_coincident,
-                    began_at: began_at(now, told.age_ms, told.ran_ms),
+                .map(|wire_strike| Strike {
+                    replica: wire_strike.replica,
+                    at: moment(now, wire_strike.age_ms),
+                    is_coincident: wire_strike.is_coincident,
+                    began_at: began_at(now, wire_strike.age_ms, wire_strike.ran_ms),
                 })
                 .collect(),
-            is_quarantined: told.is_quarantined,
-            trials: told.trials,
+            is_quarantined: wire_record.is_quarantined,
+            trials: wire_record.trials,
             stored: Stored {
-                position: stored_position(told),
-                is_quarantined: told.is_stored_quarantined,
-                isolated_trials: told.stored_apart_trials,
+                position: stored_position(wire_record),
+                is_quarantined: wire_record.is_stored_quarantined,
+                isolated_trials: wire_record.stored_isolated_trials,
             },
-            cleared_at: moment(now, told.cleared_age_ms),
-            completions: told.good_ends,
-            isolated_trials: told.apart_trials,
-            isolated_trial_at: told
-                .apart_age_ms
+            cleared_at: moment(now, wire_record.cleared_age_ms),
+            completions: wire_record.completions,
+            isolated_trials: wire_record.isolated_trials,
+            isolated_trial_at: wire_record
+                .isolated_trial_age_ms
                 .map_or(Duration::ZERO, |age_ms| moment(now, age_ms)),
         };
-        let fingerprint = Fingerprint::from_number(told.fingerprint);
+        let fingerprint = Fingerprint::from_number(wire_record.fingerprint);
         let role = role(&directory, fingerprint, state.peers.own());
         has_news |= state
             .quarantine
@@ -258,18 +258,19 @@
         is_stored_quarantined: record.stored.is_quarantined,
         cleared_age_ms: age_ms(now, record.cleared_at),
         stored_era: stored.and_then(|stored| stored.era.number()),
-        good_ends: record.completions,
-        apart_trials: record.isolated_trials,
-        apart_age_ms: (record.isolated_trials > 0).then(|| age_ms(now, record.isolated_trial_at)),
-        stored_apart_trials: record.stored.isolated_trials,
+        completions: record.completions,
+        isolated_trials: record.isolated_trials,
+        isolated_trial_age_ms: (record.isolated_trials > 0)
+            .then(|| age_ms(now, record.isolated_trial_at)),
+        stored_isolated_trials: record.stored.isolated_trials,
     }
 }
 
 /// The store position of a record according to another daemon.
-fn stored_position(told: &WireRecord) -> Option<StorePosition> {
+fn stored_position(wire_record: &WireRecord) -> Option<StorePosition> {
     let position = StorePosition {
-        era: StoreEra::from_number(told.stored_era),
-        revision: told.stored_revision,
+        era: StoreEra::from_number(wire_record.stored_era),
+        revision: wire_record.stored_revision,
     };
     Some(position).filter(|position| position.revision > 0)
 }
--- a/crates/gateway/src/peers/spread.rs
+++ b/crates/gateway/src/peers/spread.rs
@@ -84,7 +84,7 @@
     }
     match spread.report {
         Report::Prompts(prompts) => apply_prompts(state, &prompts),
-        Report::Cached(told) => cached::apply(state, &told),
+        Report::Cached(updates) => cached::apply(state, &updates),
         Report::Usage(groups) => {
             let now = Instant::now();
             for usage in &groups {
@@ -93,7 +93,7 @@
         }
         Report::LoadStatus(status) => apply_load_status(state, &status),
         Report::Records(records) => drop(records::apply_records(state, &records)),
-        Report::Notices(told) => notices::apply(state, &told),
+        Report::Notices(notices) => notices::apply(state, &notices),
         Report::StoreRecovered => state.store_outage.end(),
     }
 }
--- a/crates/gateway/src/peers/usage.rs
+++ b/crates/gateway/src/peers/usage.rs
@@ -25,8 +25,8 @@
 
 /// Reports usage in an endless loop.
 pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
-    let mut told = Vec::new();
-    let mut told_at = Instant::now();
+    let mut last_reported = Vec::new();
+    let mut last_reported_at = Instant::now();
     loop {
         tokio::time::sleep(REPORT_INTERVAL).await;
         if !state.quotas.has_limits() {
@@ -35,14 +35,14 @@
         }
         let now = Instant::now();
         let own = state.quotas.own_usage(now);
-        let is_unchanged = own == told;
+        let is_unchanged = own == last_reported;
         if state.peers.is_leader.get() {
             lead(&state, &socket, own.clone(), now).await;
-        } else if !is_unchanged || now.duration_since(told_at) >= IDLE_REPORT_INTERVAL {
+        } else if !is_unchanged || now.duration_since(last_reported_at) >= IDLE_REPORT_INTERVAL {
             send_to_leader(&state, &socket, &own).await;
-            told_at = now;
+            last_reported_at = now;
         }
-        told = own;
+        last_reported = own;
     }
 }
 
