--- a/crates/gateway-program/src/quarantine.rs
+++ b/crates/gateway-program/src/quarantine.rs
@@ -67,7 +67,7 @@
 
 /// Why a request is held or sent.
 fn reason(record: &QuarantineRecord, rivals: usize) -> String {
-    match (record.is_quarantined, rivals, record.apart_trials) {
+    match (record.is_quarantined, rivals, record.isolated_trials) {
         (false, ..) => "sent, once in each try: so few ends prove nothing".to_owned(),
         (true, _, trials) if trials > 0 => {
             format!("held: tried apart {trials} times without a whole answer")
@@ -86,11 +86,11 @@
         "{name} quarantined={} ended={} good_ends={} let_go={} replica_digests={} trials={} apart_trials={} why={:?}",
         record.is_quarantined,
         replicas.len(),
-        record.good_ends,
+        record.completions,
         record.generation,
         replicas.join(","),
         record.trials,
-        record.apart_trials,
+        record.isolated_trials,
         reason(record, rivals)
     );
 }
--- a/crates/gateway/src/protocol/own_records.rs
+++ b/crates/gateway/src/protocol/own_records.rs
@@ -44,7 +44,7 @@
     /// How often the request was tried while in quarantine.
     pub trials: u32,
     /// The number of complete answers to the request since it first crashed a replica, over all generations.
-    pub good_ends: u32,
+    pub completions: u32,
     /// How often the request was tried in isolation from the other requests that were open when the replicas ended.
-    pub apart_trials: u32,
+    pub isolated_trials: u32,
 }
