--- a/crates/gateway/src/notices/replica_notices.rs
+++ b/crates/gateway/src/notices/replica_notices.rs
@@ -20,7 +20,7 @@
 /// The share of a pause over which the retries are spread.
 const PAUSE_JITTER: f64 = 0.25;
 
-/// A period in which a replica wants no requests from this gateway.
+/// A period in which a replica has asked this gateway to send it no requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cooldown {
     /// When the latest answer was received that asked for it.
@@ -56,7 +56,7 @@
 pub enum PauseCause {
     /// The replica accepts this rate of requests, and no permit is available.
     Limit(RequestRate),
-    /// The replica has rejected a request of this gateway and wants no others for a while.
+    /// The replica has rejected a request of this gateway and asked for a pause.
     Cooldown,
 }
 
@@ -86,7 +86,7 @@
         !self.has_announced_leaving.replace(true)
     }
 
-    /// Records that the replica wants no requests from this gateway for a while; the latest end applies.
+    /// Records that the replica has asked this gateway for a pause; the latest end applies.
     /// Returns whether it may be logged.
     pub fn record_cooldown(&self, cooldown: Cooldown) -> bool {
         let known = self.cooldown.get();
@@ -119,7 +119,7 @@
         pauses.max_by_key(|pause| pause.until)
     }
 
-    /// Whether the replica wants no requests from this gateway at `now`.
+    /// Whether a cooldown requested by the replica lasts at `now`.
     pub fn is_cooling_down(&self, now: Instant) -> bool {
         self.cooldown_pause().is_some_and(|pause| now < pause.until)
     }
--- a/crates/gateway/src/permits/ranking.rs
+++ b/crates/gateway/src/permits/ranking.rs
@@ -23,8 +23,8 @@
 /// The gateways that issue the permits for the incarnation with this hash, by rank.
 pub fn issuers(directory: &Directory, incarnation: u64) -> Vec<&WireDaemon> {
     let bytes = incarnation.to_le_bytes();
-    directory.highest(ISSUERS_PER_REPLICA, |daemon| {
-        xxh3_64_with_seed(&bytes, name_digest(&daemon.name))
+    directory.highest(ISSUERS_PER_REPLICA, |gateway| {
+        xxh3_64_with_seed(&bytes, name_digest(&gateway.name))
     })
 }
 
--- a/crates/gateway/src/replicas/queue_wait.rs
+++ b/crates/gateway/src/replicas/queue_wait.rs
@@ -9,8 +9,8 @@
 //! A replica starts urgent requests first. So a request waits at least as long as more urgent ones did, while
 //! less urgent ones say nothing about it.
 //!
-//! While this process is suspended, answers wait in its sockets. That time is not counted as a wait at a
-//! replica.
+//! While this process is frozen or its machine suspended, answers wait in its sockets. That time is not counted
+//! as a wait at a replica.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -187,7 +187,7 @@
     urgency: u8,
     id: u64,
     sent_at: Instant,
-    /// Total time this process had been suspended when the request was sent.
+    /// Total standstill of this process when the request was sent, see [`standstill::total`].
     standstill_before: Duration,
     /// The wait that was expected when the request was sent.
     expected: Duration,
@@ -242,9 +242,9 @@
         }
     }
 
-    /// Adds the wait of this request as a sample. If the process was suspended in the meantime, the wait may
-    /// have ended at the replica at any time of the suspension, so only the rest of it counts, and only if it
-    /// was longer than expected.
+    /// Adds the wait of this request as a sample. If the process stood still in the meantime, the wait may have
+    /// ended at the replica at any time of the standstill. Then the standstill is subtracted, and the rest is a
+    /// sample only if it is longer than expected.
     fn record_own_wait(&self, wait: Duration, now: Instant) {
         let standstill = standstill::total().saturating_sub(self.standstill_before);
         let min_wait = wait.saturating_sub(standstill);
