--- a/crates/gateway/src/pipeline/admission.rs
+++ b/crates/gateway/src/pipeline/admission.rs
@@ -32,8 +32,8 @@
 /// gives up shows a wait of no more than that timeout, and the estimate decays.
 const USABLE_TIMEOUT_SHARE: f64 = 0.8;
 
-/// Number of ranks by which a request that will be late goes back: more than the ranks in use, so that late requests of
-/// an urgent kind do not go before punctual ones of another kind (operator's sheets: ranks 0 to 3).
+/// Number of ranks by which a late request is moved back: more than the ranks in use, so that late requests of an
+/// urgent kind do not go before punctual ones of another kind (operator's sheets: ranks 0 to 3).
 const LATE_RANK_OFFSET: u8 = 5;
 
 /// The last rank.
@@ -60,12 +60,12 @@
     expected_wait <= objective_left
 }
 
-/// Whether the queues of all replicas together are too long to send one more request. `together` is its expected wait
-/// and `objective` the longest objective of its service's routes. Beyond that, more is sent than is processed, and each
-/// further request delays later ones. The bound is the same for all kinds of requests, so that those with shorter
-/// objectives are not refused for the sake of others.
-pub fn are_queues_too_long(together: Duration, objective: Option<Duration>) -> bool {
-    objective.is_some_and(|objective| together > objective)
+/// Whether the queues of all replicas together are too long to send one more request. `service_wait` is its expected
+/// wait there and `objective` the longest objective of its service's routes. Beyond that, more is sent than is
+/// processed, and each further request delays later ones. The bound is the same for all kinds of requests, so that
+/// those with shorter objectives are not refused for the sake of others.
+pub fn are_queues_too_long(service_wait: Duration, objective: Option<Duration>) -> bool {
+    objective.is_some_and(|objective| service_wait > objective)
 }
 
 /// Rank of a request that will be late, behind those that will not.
@@ -96,15 +96,15 @@
     let is_regulated = context.prompt().is_some() && progress == Progress::New;
     let expected_at = |replica: &Rc<Replica>| replica.queue_waits.expected_wait(rank, now);
     let line_at = |replica: &Rc<Replica>| replica.queue_waits.queue_state(rank, now);
-    let together = service_queue_wait(candidates.iter().map(line_at));
+    let service_wait = service_queue_wait(candidates.iter().map(line_at));
     let objective = context.configuration.longest_objective(&context.service);
-    if is_regulated && are_queues_too_long(together, objective) {
+    if is_regulated && are_queues_too_long(service_wait, objective) {
         let acceptable_wait = objective.unwrap_or_default();
-        let detail = format!("a wait of {together:?} at all replicas together");
+        let detail = format!("a wait of {service_wait:?} at all replicas together");
         return Err(overloaded(
             state,
             context,
-            together,
+            service_wait,
             acceptable_wait,
             detail,
         ));
@@ -113,8 +113,8 @@
     if !is_regulated || is_in_time(expected_wait, context.objective_left(now)) {
         return Ok(Admitted { candidates, rank });
     }
-    let behind = late_rank(rank);
-    let typical_at = |replica: &Rc<Replica>| replica.queue_waits.typical_wait(behind, now);
+    let late = late_rank(rank);
+    let typical_at = |replica: &Rc<Replica>| replica.queue_waits.typical_wait(late, now);
     let typical_wait = candidates.iter().map(typical_at).min().unwrap_or_default();
     let first_event_time_left = context.first_event_time_left(now);
     if !is_worth_sending(typical_wait, first_event_time_left) {
@@ -132,10 +132,10 @@
     }
     // If the remaining time of older weights does not allow the longer wait of the late rank, the request keeps its own
     // rank.
-    match eligible(behind) {
+    match eligible(late) {
         Ok(candidates) => Ok(Admitted {
             candidates,
-            rank: behind,
+            rank: late,
         }),
         Err(_) => Ok(Admitted { candidates, rank }),
     }
--- a/crates/gateway/src/pipeline/attempts.rs
+++ b/crates/gateway/src/pipeline/attempts.rs
@@ -184,11 +184,11 @@
     pub fn handle_failed_answer(
         &mut self,
         choice: &Choice,
-        why: &AnswerFailure,
+        failure: &AnswerFailure,
     ) -> Result<(), Refusal> {
         // It was counted as a run when its head arrived.
         self.possible_runs -= 1;
-        match why {
+        match failure {
             AnswerFailure::BrokeOff(cause) => {
                 self.handle_lost(choice, choice.replica.pool.peer(), cause)
             }
@@ -250,10 +250,10 @@
             Verdict::NotRun => {
                 let status = opened.answer.status().as_u16();
                 let detail = format!("status {status}, misdirected {}", meta.is_misdirected);
-                let is_right = meta.replica.as_deref() == Some(choice.replica.id());
+                let is_from_chosen_replica = meta.replica.as_deref() == Some(choice.replica.id());
                 let mismatch = self
                     .mismatch_at(&choice)
-                    .filter(|_| meta.is_misdirected && is_right);
+                    .filter(|_| meta.is_misdirected && is_from_chosen_replica);
                 match mismatch {
                     Some(mismatch) => self.handle_mismatch(&choice, mismatch, peer, &detail)?,
                     None => self.handle_not_run(&choice, peer, &detail)?,
--- a/crates/gateway/src/pipeline/check_quarantine.rs
+++ b/crates/gateway/src/pipeline/check_quarantine.rs
@@ -61,7 +61,7 @@
     state.quarantine.now() >= from.saturating_add(turn)
 }
 
-fn refusal(fingerprint: Fingerprint, why: &str) -> Refusal {
-    let detail = format!("{why} fingerprint={fingerprint}");
+fn refusal(fingerprint: Fingerprint, reason: &str) -> Refusal {
+    let detail = format!("{reason} fingerprint={fingerprint}");
     Refusal::new(Step::Dispatch, Reason::Quarantined, detail)
 }
--- a/crates/gateway/src/pipeline/choose_replica.rs
+++ b/crates/gateway/src/pipeline/choose_replica.rs
@@ -145,11 +145,11 @@
     progress: Progress,
     listed: &ServiceReplicas,
 ) -> Option<Admitted> {
-    let few = listed.select_for_comparison(key, state.draw());
-    let eligible_for = |rank| eligible(state, context, &few, tried, rank);
+    let compared = listed.select_for_comparison(key, state.draw());
+    let eligible_for = |rank| eligible(state, context, &compared, tried, rank);
     let admitted = admit(state, context, progress, eligible_for).ok()?;
-    let is_enough = admitted.candidates.len() >= MIN_ELIGIBLE_COMPARED;
-    (is_enough && admitted.rank == context.priority()).then_some(admitted)
+    let has_enough = admitted.candidates.len() >= MIN_ELIGIBLE_COMPARED;
+    (has_enough && admitted.rank == context.priority()).then_some(admitted)
 }
 
 /// Replicas that may serve the request: listed, not leaving, not tried, with weights that may still be used, and not
@@ -177,13 +177,13 @@
         return Err(no_replica("none has weights that may be used"));
     }
     retain_unpaused(state, &mut staying, now)?;
-    let is_well = |replica: &&Rc<Replica>| {
+    let is_available = |replica: &&Rc<Replica>| {
         !replica.health.is_suspect(now) && replica.loading_since().is_none()
     };
-    let well: Vec<Rc<Replica>> = staying.iter().filter(is_well).cloned().collect();
-    match well.is_empty() {
+    let available: Vec<Rc<Replica>> = staying.iter().filter(is_available).cloned().collect();
+    match available.is_empty() {
         true => Ok(staying),
-        false => Ok(well),
+        false => Ok(available),
     }
 }
 
--- a/crates/gateway/src/pipeline/collect.rs
+++ b/crates/gateway/src/pipeline/collect.rs
@@ -72,8 +72,8 @@
                 });
             }
             Err(error) => {
-                let why = AnswerFailure::BrokeOff(error.to_string());
-                attempts.handle_failed_answer(&choice, &why)?;
+                let failure = AnswerFailure::BrokeOff(error.to_string());
+                attempts.handle_failed_answer(&choice, &failure)?;
             }
         }
     }
--- a/crates/gateway/src/pipeline/context.rs
+++ b/crates/gateway/src/pipeline/context.rs
@@ -60,8 +60,8 @@
         body: Bytes,
         arrived_at: Instant,
     ) -> Self {
-        let wait = decoded.meta.deadline.unwrap_or(DEFAULT_REQUEST_TIMEOUT);
-        let hold = match route.timeout {
+        let caller_limit = decoded.meta.deadline.unwrap_or(DEFAULT_REQUEST_TIMEOUT);
+        let route_limit = match route.timeout {
             Duration::ZERO => DEFAULT_REQUEST_TIMEOUT,
             timeout => timeout,
         };
@@ -77,7 +77,7 @@
             tenant,
             service,
             arrived_at,
-            deadline: arrived_at + wait.min(hold),
+            deadline: arrived_at + caller_limit.min(route_limit),
             fingerprint: OnceCell::new(),
         }
     }
@@ -115,9 +115,9 @@
 
     /// How long the caller waits for the first event, from the request's arrival.
     pub fn first_event_timeout(&self) -> Duration {
-        let hold = self.deadline.saturating_duration_since(self.arrived_at);
+        let time_limit = self.deadline.saturating_duration_since(self.arrived_at);
         let timeout = self.route.first_event_timeout;
-        timeout.map_or(hold, |timeout| timeout.min(hold))
+        timeout.map_or(time_limit, |timeout| timeout.min(time_limit))
     }
 
     /// How much longer the caller waits at `now` for the first event.
--- a/crates/gateway/src/pipeline/first_list.rs
+++ b/crates/gateway/src/pipeline/first_list.rs
@@ -18,6 +18,6 @@
 /// another gateway, which has also just started, and usually has only this one retry left.
 pub fn first_list_timeout(age: Duration, time_left: Duration) -> Duration {
     let until_known = FULL_LIST_MAX_AGE.saturating_sub(age);
-    let most = time_left.mul_f64(MAX_WAIT_SHARE);
-    until_known.min(most).max(MIN_WAIT.min(time_left))
+    let max_wait = time_left.mul_f64(MAX_WAIT_SHARE);
+    until_known.min(max_wait).max(MIN_WAIT.min(time_left))
 }
--- a/crates/gateway/src/pipeline/prompt_sources.rs
+++ b/crates/gateway/src/pipeline/prompt_sources.rs
@@ -175,8 +175,12 @@
             replica.id_hash != candidate.id_hash && *tokens > cached_tokens
         });
         let best = others.max_by_key(|(replica, tokens)| {
-            let is_near = replica.entry().zone == zone;
-            (*tokens, is_near, std::cmp::Reverse(replica.open_requests()))
+            let is_same_zone = replica.entry().zone == zone;
+            (
+                *tokens,
+                is_same_zone,
+                std::cmp::Reverse(replica.open_requests()),
+            )
         });
         let replica = best.map(|(replica, tokens)| Source {
             address: replica.pool.peer(),
--- a/crates/gateway/src/pipeline/relay.rs
+++ b/crates/gateway/src/pipeline/relay.rs
@@ -96,7 +96,7 @@
             Ok(first) => {
                 return Ok((attempts, attempt, splitter, first));
             }
-            Err(why) => attempts.handle_failed_answer(&attempt.choice, &why)?,
+            Err(failure) => attempts.handle_failed_answer(&attempt.choice, &failure)?,
         }
     }
 }
@@ -177,8 +177,8 @@
                     self.end();
                     return None;
                 }
-                Err(why) => {
-                    if !self.resume_elsewhere(&why).await {
+                Err(failure) => {
+                    if !self.resume_elsewhere(&failure).await {
                         return None;
                     }
                 }
@@ -211,8 +211,8 @@
     }
 
     /// Resumes the stream at another replica after the last event; returns false if the stream was cut.
-    async fn resume_elsewhere(&mut self, why: &AnswerFailure) -> bool {
-        let cause = why.cause();
+    async fn resume_elsewhere(&mut self, failure: &AnswerFailure) -> bool {
+        let cause = failure.cause();
         if self.caller.as_ref().is_some_and(IoRef::is_closed) {
             self.cut("the caller has left");
             return false;
@@ -221,7 +221,7 @@
         if is_over
             || self
                 .attempts
-                .handle_failed_answer(&self.attempt.choice, why)
+                .handle_failed_answer(&self.attempt.choice, failure)
                 .is_err()
         {
             self.cut(cause);
--- a/crates/gateway/src/pipeline/withdrawal.rs
+++ b/crates/gateway/src/pipeline/withdrawal.rs
@@ -24,9 +24,9 @@
     context: &RequestContext,
     choice: &Choice,
 ) -> Duration {
-    let callers = context.time_left();
+    let callers_time_left = context.time_left();
     let Some((prompt, version)) = context.prompt().zip(choice.weights_version) else {
-        return callers;
+        return callers_time_left;
     };
     let now = Instant::now();
     let deadline = state.times.get().weights_deadline;
@@ -34,7 +34,7 @@
     let wanted = state.weights.borrow();
     wanted
         .replica_time_limit(&prompt.model, version, now, deadline, expected_wait)
-        .map_or(callers, |given| given.min(callers))
+        .map_or(callers_time_left, |limit| limit.min(callers_time_left))
 }
 
 /// Whether a request that is sent now would have to be withdrawn at once.
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -118,7 +118,7 @@
     pub quotas: Quotas,
     /// Permits to send to replicas that limit their request rate.
     pub permits: Permits,
-    /// Notices from replicas that other gateways have to be told.
+    /// Notices from replicas that have to be sent to other gateways.
     pub changed_notices: ChangedNotices,
     /// Which replicas have given a notice.
     pub notice_survey: NoticeSurvey,
@@ -242,8 +242,8 @@
         if self.is_from_earlier_incarnation(&change) {
             return;
         }
-        if let Change::Put(Item::Replica(told)) = &change
-            && store::copied_entries::is_held_back(self, told)
+        if let Change::Put(Item::Replica(replica)) = &change
+            && store::copied_entries::is_held_back(self, replica)
         {
             return;
         }
@@ -277,33 +277,36 @@
     /// Applies a replica's entry as read from the store. An entry without a start time, where the previous one had one,
     /// was written by another writer over the replica's own entry.
     pub fn apply_stored_entry(&self, entry: &ReplicaEntry) {
-        let told = WireReplica::from(entry);
-        let is_foreign = told.born.is_none() && self.known_start_time(&told.id).is_some();
+        let replica = WireReplica::from(entry);
+        let is_foreign = replica.born.is_none() && self.known_start_time(&replica.id).is_some();
         self.apply(match is_foreign {
-            true => Change::Removed(ItemKey::Replica(told.id)),
-            false => Change::Put(Item::Replica(told)),
+            true => Change::Removed(ItemKey::Replica(replica.id)),
+            false => Change::Put(Item::Replica(replica)),
         });
     }
 
     /// An incarnation that has announced that it is leaving never goes back to ready, as in [`Registry::put`]. Gateways
     /// that ask after a late write over that entry must be told that it is leaving, since they may not have heard it.
     fn with_known_draining(&self, change: Change) -> Change {
-        let Change::Put(Item::Replica(mut told)) = change else {
+        let Change::Put(Item::Replica(mut replica)) = change else {
             return change;
         };
         let log = self.peers.log.borrow();
-        if let Some(Item::Replica(known)) = log.get(&ItemKey::Replica(told.id.clone())) {
-            let is_same_life = known.born == told.born && known.address == told.address;
-            told.is_draining |= is_same_life && known.is_draining;
+        if let Some(Item::Replica(known)) = log.get(&ItemKey::Replica(replica.id.clone())) {
+            let is_same_incarnation =
+                known.born == replica.born && known.address == replica.address;
+            replica.is_draining |= is_same_incarnation && known.is_draining;
         }
-        Change::Put(Item::Replica(told))
+        Change::Put(Item::Replica(replica))
     }
 
     /// Whether a change is about an earlier incarnation of the replica than the known one, and so outdated. A gateway
     /// of an earlier version sends no start times at all, and must not make this one forget its replicas.
     fn is_from_earlier_incarnation(&self, change: &Change) -> bool {
         match change {
-            Change::Put(Item::Replica(told)) => told.born < self.known_start_time(&told.id),
+            Change::Put(Item::Replica(replica)) => {
+                replica.born < self.known_start_time(&replica.id)
+            }
             _ => false,
         }
     }
