--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -24,7 +24,7 @@
 use super::spread::{self, spread};
 use crate::cache::PrefixKey;
 use crate::protocol::{ModelVersion, UnreadableReason};
-use crate::rollout::name_if_suspected;
+use crate::rollout::record_if_suspected;
 use crate::state::GatewayState;
 use crate::store::{Rejected, adopt_peer_era};
 use crate::weights::Since;
@@ -277,7 +277,7 @@
 /// that ordered the load tells this to the daemons that query it, but the reader of the store doesn't know.
 pub(super) fn apply_load_status(state: &GatewayState, status: &LoadStatus) {
     if status.is_done {
-        name_if_suspected(state, &status.weights());
+        record_if_suspected(state, &status.weights());
     }
     if status.is_refused {
         let mut suspected = state.suspected_weights.borrow_mut();
--- a/crates/gateway/src/rollout/load.rs
+++ b/crates/gateway/src/rollout/load.rs
@@ -26,14 +26,14 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(120);
 
 /// How long a replica may load before it counts as failed.
-const LONGEST_LOAD: Duration = Duration::from_secs(6);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Orders without an answer after which a replica is left alone for a while.
-pub(super) const MAX_LOST_ORDERS: u32 = 12;
+pub(super) const MAX_UNANSWERED_ORDERS: u32 = 12;
 
 /// The same where any other replica can be asked as well, so that two silent ones hold suspected weights up for 1.6 s and not
 /// for 9.6 s, which is longer than older weights may serve.
-pub(super) const MAX_LOST_TRIALS: u32 = 2;
+pub(super) const MAX_UNANSWERED_TRIALS: u32 = 2;
 
 /// Orders after which a replica is left alone for a while, whatever it answers.
 const MAX_ORDERS: u32 = 12;
@@ -45,66 +45,66 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LoadFailure {
     /// It could not be reached, did not take the order or did not load.
-    AtReplica,
+    ReplicaFailed,
     /// It refused the version, as one that was not named.
     NotNamed,
     /// This daemon may not give orders any more.
     MayNotOrder,
 }
 
-/// Orders one replica to load and waits until it has the weights; gives up after `max_lost` orders without an answer.
+/// Orders one replica to load and waits until it has the weights; gives up after `max_unanswered` orders without an answer.
 pub(super) async fn bring_up_to_date(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
     wanted: ModelVersion,
-    max_lost: u32,
+    max_unanswered: u32,
 ) -> Result<(), LoadFailure> {
     replica.set_loading(Some(Instant::now()));
-    tell(state, replica, &wanted, None);
-    let end = load(state, replica, &wanted, max_lost).await;
+    report_status(state, replica, &wanted, None);
+    let outcome = order_and_wait(state, replica, &wanted, max_unanswered).await;
     replica.set_loading(None);
-    tell(state, replica, &wanted, Some(end));
-    end
+    report_status(state, replica, &wanted, Some(outcome));
+    outcome
 }
 
-async fn load(
+async fn order_and_wait(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
     wanted: &ModelVersion,
-    max_lost: u32,
+    max_unanswered: u32,
 ) -> Result<(), LoadFailure> {
-    order_until_taken(state, replica, wanted, max_lost).await?;
-    name_if_suspected(state, wanted);
+    order_until_taken(state, replica, wanted, max_unanswered).await?;
+    record_if_suspected(state, wanted);
     match wait_until_loaded(state, replica, wanted).await {
         true => Ok(()),
-        false => Err(LoadFailure::AtReplica),
+        false => Err(LoadFailure::ReplicaFailed),
     }
 }
 
 /// Takes a version for named that a replica has taken an order for: it refuses those that were not.
-pub fn name_if_suspected(state: &GatewayState, taken: &ModelVersion) {
+pub fn record_if_suspected(state: &GatewayState, taken: &ModelVersion) {
     let since = state.suspected_weights.borrow().since(taken);
     if let Some(since) = since {
         record_wanted_weights(state, taken, since);
     }
 }
 
-/// Tells the other daemons, so that they send no requests to a replica that is loading; `end` is how it went, once it has
+/// Tells the other daemons, so that they send no requests to a replica that is loading; `outcome` is how it went, once it has
 /// ended.
-fn tell(
+fn report_status(
     state: &GatewayState,
     replica: &Replica,
     wanted: &ModelVersion,
-    end: Option<Result<(), LoadFailure>>,
+    outcome: Option<Result<(), LoadFailure>>,
 ) {
     state.peers.report_load_status(LoadStatus {
         replica: replica.id().to_owned(),
         born: replica.incarnation.born,
         model: wanted.model.clone(),
         version: wanted.version,
-        is_done: end.is_some_and(|end| end.is_ok()),
-        has_failed: end.is_some_and(|end| end.is_err()),
-        is_refused: end == Some(Err(LoadFailure::NotNamed)),
+        is_done: outcome.is_some_and(|outcome| outcome.is_ok()),
+        has_failed: outcome.is_some_and(|outcome| outcome.is_err()),
+        is_refused: outcome == Some(Err(LoadFailure::NotNamed)),
     });
 }
 
@@ -113,12 +113,12 @@
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
     wanted: &ModelVersion,
-    max_lost: u32,
+    max_unanswered: u32,
 ) -> Result<(), LoadFailure> {
-    if replica.order_sequence().is_none() && !learn_state(state, replica).await {
-        return Err(LoadFailure::AtReplica);
+    if replica.order_sequence().is_none() && !fetch_order_sequence(state, replica).await {
+        return Err(LoadFailure::ReplicaFailed);
     }
-    let mut lost = 0;
+    let mut unanswered = 0;
     for _ in 0..MAX_ORDERS {
         // It must not run out before the order has been sent: a connection may have to come up first.
         let Some(token) = state.lease.borrow().token_at(state.now() + ORDER_TIMEOUT) else {
@@ -147,12 +147,12 @@
                 return Ok(());
             }
             Ok(OrderAnswer::Holds) => {
-                note_loaded(replica, wanted);
+                record_loaded(replica, wanted);
                 return Ok(());
             }
             Ok(OrderAnswer::Conflict) => {
-                if !learn_sequence(state, replica, wanted).await {
-                    return Err(LoadFailure::AtReplica);
+                if !resolve_conflict(state, replica, wanted).await {
+                    return Err(LoadFailure::ReplicaFailed);
                 }
             }
             Ok(OrderAnswer::Fenced) => {
@@ -161,30 +161,30 @@
             }
             Ok(OrderAnswer::NotNamed) => return Err(LoadFailure::NotNamed),
             Ok(OrderAnswer::Misdirected | OrderAnswer::Refused) => {
-                return Err(LoadFailure::AtReplica);
+                return Err(LoadFailure::ReplicaFailed);
             }
             Err(CallError::NotSent(_)) if !holds_token() => return Err(LoadFailure::MayNotOrder),
-            Err(CallError::NotSent(_)) => return Err(LoadFailure::AtReplica),
-            Err(CallError::NoAnswer(_) | CallError::TimedOut(_)) => lost += 1,
+            Err(CallError::NotSent(_)) => return Err(LoadFailure::ReplicaFailed),
+            Err(CallError::NoAnswer(_) | CallError::TimedOut(_)) => unanswered += 1,
         }
-        if lost >= max_lost {
+        if unanswered >= max_unanswered {
             break;
         }
     }
-    Err(LoadFailure::AtReplica)
+    Err(LoadFailure::ReplicaFailed)
 }
 
 /// After a conflict: the replica is doing something else, or was ordered by another daemon before.
-async fn learn_sequence(
+async fn resolve_conflict(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
     wanted: &ModelVersion,
 ) -> bool {
     tokio::time::sleep(REPORT_INTERVAL).await;
-    let Some(report) = report(state, replica).await else {
+    let Some(report) = fetch_report(state, replica).await else {
         return false;
     };
-    take_report(replica, &report);
+    apply_report(replica, &report);
     if report.is_busy {
         return wait_until_loaded(state, replica, wanted).await;
     }
@@ -192,15 +192,15 @@
 }
 
 /// Learns how many orders a replica has taken; false where it does not say.
-async fn learn_state(state: &Rc<GatewayState>, replica: &Rc<Replica>) -> bool {
-    let Some(report) = report(state, replica).await else {
+async fn fetch_order_sequence(state: &Rc<GatewayState>, replica: &Rc<Replica>) -> bool {
+    let Some(report) = fetch_report(state, replica).await else {
         return false;
     };
-    take_report(replica, &report);
+    apply_report(replica, &report);
     true
 }
 
-fn take_report(replica: &Replica, report: &ReplicaReport) {
+fn apply_report(replica: &Replica, report: &ReplicaReport) {
     replica.set_order_sequence(report.order_sequence);
     replica.record_models(&report.models);
 }
@@ -211,27 +211,27 @@
     replica: &Rc<Replica>,
     wanted: &ModelVersion,
 ) -> bool {
-    let began = Instant::now();
-    let mut silent = 0;
-    while began.elapsed() < LONGEST_LOAD {
+    let started_at = Instant::now();
+    let mut missed_reports = 0;
+    while started_at.elapsed() < LOAD_TIMEOUT {
         if replica.version_of(&wanted.model) >= Some(wanted.version) {
             return true;
         }
         tokio::time::sleep(REPORT_INTERVAL).await;
-        match report(state, replica).await {
+        match fetch_report(state, replica).await {
             Some(report) => {
-                silent = 0;
+                missed_reports = 0;
                 replica.record_models(&report.models);
-                let has_ended = !report.is_busy && began.elapsed() > REPORT_LAG;
+                let has_ended = !report.is_busy && started_at.elapsed() > REPORT_LAG;
                 if replica.version_of(&wanted.model) >= Some(wanted.version) {
-                    note_loaded(replica, wanted);
+                    record_loaded(replica, wanted);
                 } else if has_ended {
                     return false;
                 }
             }
             None => {
-                silent += 1;
-                if silent > 3 || !state.registry.is_current(&replica.incarnation) {
+                missed_reports += 1;
+                if missed_reports > 3 || !state.registry.is_current(&replica.incarnation) {
                     return false;
                 }
             }
@@ -240,7 +240,7 @@
     false
 }
 
-async fn report(state: &Rc<GatewayState>, replica: &Rc<Replica>) -> Option<ReplicaReport> {
+async fn fetch_report(state: &Rc<GatewayState>, replica: &Rc<Replica>) -> Option<ReplicaReport> {
     let call = state.platform.report();
     let answer = upstream::call(&replica.pool, &call, REPORT_TIMEOUT).await;
     let failed = |error: &upstream::CallError| {
@@ -252,7 +252,7 @@
         return None;
     }
     match state.platform.read_report(&body) {
-        Ok(report) if is_of_life(&report, replica) => Some(report),
+        Ok(report) if is_from_incarnation(&report, replica) => Some(report),
         Ok(report) => {
             log::debug!(
                 "report of {:?}, not of {:?}",
@@ -270,11 +270,11 @@
 }
 
 /// Whether a report is not that of another life, which has taken other orders and may have other weights.
-fn is_of_life(report: &ReplicaReport, replica: &Replica) -> bool {
+fn is_from_incarnation(report: &ReplicaReport, replica: &Replica) -> bool {
     report.born.is_none() || report.born == replica.incarnation.born
 }
 
-fn note_loaded(replica: &Replica, wanted: &ModelVersion) {
+fn record_loaded(replica: &Replica, wanted: &ModelVersion) {
     replica.record_version(&wanted.model, wanted.version);
     log_event!(
         gateway::WEIGHTS_LOADED,
--- a/crates/gateway/src/rollout/mod.rs
+++ b/crates/gateway/src/rollout/mod.rs
@@ -12,6 +12,6 @@
 mod task;
 pub mod token;
 
-pub use lease::{LeaseAction, LeaseTimes, OrderLease, record_in};
-pub use load::name_if_suspected;
+pub use lease::{LeaseAction, LeaseTimes, OrderLease, lease_record};
+pub use load::record_if_suspected;
 pub use task::{LEASE_NAME, lease_times, run};
--- a/crates/gateway/src/rollout/plan.rs
+++ b/crates/gateway/src/rollout/plan.rs
@@ -16,9 +16,9 @@
     /// Requests of this daemon that are open there.
     pub open_requests: u32,
     /// How long it is left alone after an order that failed.
-    pub pause: Duration,
+    pub remaining_backoff: Duration,
     /// Whether its weights are so old that it gets no requests.
-    pub is_out_of_use: bool,
+    pub has_expired_weights: bool,
     /// Whether it could not be reached lately, by requests or by orders.
     pub is_unreachable: bool,
 }
@@ -38,32 +38,38 @@
 /// first.
 pub fn next_loads(replicas: &[PlannedReplica]) -> Vec<String> {
     let loading = replicas.iter().filter(|replica| replica.is_loading);
-    let mut zones: Vec<&str> = loading.map(|replica| replica.zone.as_str()).collect();
-    let free = parallel_loads(replicas.len()).saturating_sub(zones.len());
-    let due = replicas.iter().filter(|replica| {
-        replica.outdated_version.is_some() && !replica.is_loading && replica.pause.is_zero()
+    let mut loading_zones: Vec<&str> = loading.map(|replica| replica.zone.as_str()).collect();
+    let free_loads = parallel_loads(replicas.len()).saturating_sub(loading_zones.len());
+    let eligible = replicas.iter().filter(|replica| {
+        replica.outdated_version.is_some()
+            && !replica.is_loading
+            && replica.remaining_backoff.is_zero()
     });
-    let (out_of_use, mut waiting): (Vec<&PlannedReplica>, Vec<&PlannedReplica>) =
-        due.partition(|replica| replica.is_out_of_use);
+    let (out_of_use, mut candidates): (Vec<&PlannedReplica>, Vec<&PlannedReplica>) =
+        eligible.partition(|replica| replica.has_expired_weights);
     let mut chosen: Vec<String> = out_of_use
         .iter()
         .map(|replica| replica.id.clone())
         .collect();
-    while chosen.len() < free && !waiting.is_empty() {
-        let in_zone =
-            |replica: &&PlannedReplica| zones.iter().filter(|zone| **zone == replica.zone).count();
-        waiting.sort_by_key(|replica| {
+    while chosen.len() < free_loads && !candidates.is_empty() {
+        let loads_in_zone = |replica: &&PlannedReplica| {
+            loading_zones
+                .iter()
+                .filter(|zone| **zone == replica.zone)
+                .count()
+        };
+        candidates.sort_by_key(|replica| {
             let version = replica.outdated_version;
             (
                 replica.is_unreachable,
                 version,
-                in_zone(replica),
+                loads_in_zone(replica),
                 replica.open_requests,
                 replica.id.clone(),
             )
         });
-        let next = waiting.remove(0);
-        zones.push(&next.zone);
+        let next = candidates.remove(0);
+        loading_zones.push(&next.zone);
         chosen.push(next.id.clone());
     }
     chosen
--- a/crates/gateway/src/rollout/task.rs
+++ b/crates/gateway/src/rollout/task.rs
@@ -11,7 +11,7 @@
 use rand::Rng;
 
 use super::lease::{LeaseAction, LeaseTimes};
-use super::load::{LoadFailure, MAX_LOST_ORDERS, MAX_LOST_TRIALS, bring_up_to_date};
+use super::load::{LoadFailure, MAX_UNANSWERED_ORDERS, MAX_UNANSWERED_TRIALS, bring_up_to_date};
 use super::plan::{PlannedReplica, next_loads};
 use crate::protocol::{
     ModelVersion, ObjectContent, ObjectKind, ReplicaEntry, ReplicaIncarnation, WriteAnswer,
@@ -24,118 +24,124 @@
 pub const LEASE_NAME: &str = "weights";
 
 /// How often the task looks for work where nothing wakes it.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a replica is left alone after an order that failed; each further one in a row twice as long.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(250);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
 /// The longest such pause: a replica that is back has to load within the seconds in which its weights may serve.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// The longest random wait that sets daemons apart.
-const LONGEST_JITTER_MS: u64 = 250;
+const MAX_JITTER_MS: u64 = 250;
 
 /// How much longer each next in rank of a group waits before it asks for the lease: by then it mostly knows that one
 /// before it has it. Hundreds of daemons hear of new weights at once (295 machines: 293 writes to the store for one
 /// lease without it).
-const PAUSE_PER_RANK: Duration = Duration::from_millis(25);
+const DELAY_PER_RANK: Duration = Duration::from_millis(25);
 
 /// The times of the lease under the settings.
-pub fn lease_times(distance: Duration) -> LeaseTimes {
+pub fn lease_times(handover_gap: Duration) -> LeaseTimes {
     LeaseTimes {
         term: Duration::from_millis(1800),
-        distance: distance + Duration::from_millis(200),
-        renewal: Duration::from_millis(800),
-        deference: Duration::from_millis(350),
+        handover_gap: handover_gap + Duration::from_millis(200),
+        renewal_interval: Duration::from_millis(800),
+        takeover_delay: Duration::from_millis(350),
     }
 }
 
 /// What the task keeps of each replica.
 #[derive(Debug, Default)]
-struct Progress {
+struct RolloutProgress {
     by_replica: RefCell<HashMap<ReplicaIncarnation, ReplicaProgress>>,
     /// Models of which a suspected version is tried just now.
-    tried: RefCell<HashSet<String>>,
+    models_in_trial: RefCell<HashSet<String>>,
 }
 
-impl Progress {
+impl RolloutProgress {
     /// What is known of this life.
-    fn of(&self, life: &ReplicaIncarnation) -> ReplicaProgress {
+    fn get(&self, incarnation: &ReplicaIncarnation) -> ReplicaProgress {
         let by_replica = self.by_replica.borrow();
-        by_replica.get(life).copied().unwrap_or_default()
+        by_replica.get(incarnation).copied().unwrap_or_default()
     }
 
     /// Takes in that a life is ordered to load; false where it was already.
-    fn begin(&self, life: &ReplicaIncarnation) -> bool {
+    fn start(&self, incarnation: &ReplicaIncarnation) -> bool {
         let mut by_replica = self.by_replica.borrow_mut();
-        let is_driven = &mut by_replica.entry(life.clone()).or_default().is_driven;
-        !std::mem::replace(is_driven, true)
+        let is_loading = &mut by_replica
+            .entry(incarnation.clone())
+            .or_default()
+            .is_loading;
+        !std::mem::replace(is_loading, true)
     }
 
     /// Takes in that loading has ended.
-    fn end(&self, life: &ReplicaIncarnation, end: Result<(), LoadFailure>) {
+    fn finish(&self, incarnation: &ReplicaIncarnation, outcome: Result<(), LoadFailure>) {
         let mut by_replica = self.by_replica.borrow_mut();
-        let own = by_replica.entry(life.clone()).or_default();
-        own.note_end(end, Instant::now());
+        let own = by_replica.entry(incarnation.clone()).or_default();
+        own.record_outcome(outcome, Instant::now());
     }
 }
 
 /// What is known of one replica's orders.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReplicaProgress {
-    is_driven: bool,
-    paused_until: Option<Instant>,
-    failures_in_row: u32,
+    is_loading: bool,
+    backoff_until: Option<Instant>,
+    consecutive_failures: u32,
 }
 
 impl ReplicaProgress {
     /// How long it is left alone yet.
-    fn pause(&self, now: Instant) -> Duration {
-        self.paused_until
+    fn remaining_backoff(&self, now: Instant) -> Duration {
+        self.backoff_until
             .map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
     /// Takes in that loading has ended.
-    fn note_end(&mut self, end: Result<(), LoadFailure>, now: Instant) {
-        self.is_driven = false;
-        if !matches!(end, Err(LoadFailure::AtReplica | LoadFailure::NotNamed)) {
-            self.failures_in_row = 0;
-            self.paused_until = None;
+    fn record_outcome(&mut self, outcome: Result<(), LoadFailure>, now: Instant) {
+        self.is_loading = false;
+        if !matches!(
+            outcome,
+            Err(LoadFailure::ReplicaFailed | LoadFailure::NotNamed)
+        ) {
+            self.consecutive_failures = 0;
+            self.backoff_until = None;
             return;
         }
-        let pause = PAUSE_AFTER_FAILURE.saturating_mul(1 << self.failures_in_row.min(8));
-        self.failures_in_row += 1;
-        self.paused_until = Some(now + pause.min(LONGEST_PAUSE));
+        let backoff = INITIAL_BACKOFF.saturating_mul(1 << self.consecutive_failures.min(8));
+        self.consecutive_failures += 1;
+        self.backoff_until = Some(now + backoff.min(MAX_BACKOFF));
     }
 }
 
 /// Looks for outdated replicas for ever, and brings them up to date.
 pub async fn run(state: Rc<GatewayState>) {
-    let progress = Rc::new(Progress::default());
+    let progress = Rc::new(RolloutProgress::default());
     loop {
         tokio::select! {
-            () = tokio::time::sleep(LOOK_INTERVAL) => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
             () = state.rollout_wanted.notified() => {}
         }
         if state.status.is_stopping() {
-            return give_back(&state).await;
+            return release_lease(&state).await;
         }
-        if !may_lead_loads(&state) {
+        if !may_order_loads(&state) {
             // A survey looks at every replica, of which there may be thousands: members of large groups leave it to the few that
             // may order loads.
-            state.lease.borrow_mut().rest();
+            state.lease.borrow_mut().on_idle();
             continue;
         }
         let survey = survey(&state);
         store::note_shown_weights(&state, &survey.shown);
-        let trials = possible_trials(&state, &progress);
+        let trials = find_trials(&state, &progress);
         // A trial that is under way needs the lease until its end.
-        let is_trying = !progress.tried.borrow().is_empty();
+        let is_trying = !progress.models_in_trial.borrow().is_empty();
         if survey.outdated.is_empty() && trials.is_empty() && !is_trying {
-            state.lease.borrow_mut().rest();
+            state.lease.borrow_mut().on_idle();
             continue;
         }
-        if hold_lease(&state).await.is_none() {
+        if try_hold_lease(&state).await.is_none() {
             continue;
         }
         for (service, wanted) in survey.outdated {
@@ -148,14 +154,14 @@
 }
 
 /// Whether this daemon holds the lease, or is one of those that may call the store on their own account.
-fn may_lead_loads(state: &GatewayState) -> bool {
+fn may_order_loads(state: &GatewayState) -> bool {
     let holds = state.lease.borrow().token_at(state.now()).is_some();
     holds || state.peers.may_read.get()
 }
 
 /// Gives the lease back before a planned stop, so that another daemon need not wait for its end.
-async fn give_back(state: &Rc<GatewayState>) {
-    let given_back = state.lease.borrow_mut().give_back();
+async fn release_lease(state: &Rc<GatewayState>) {
+    let given_back = state.lease.borrow_mut().release();
     if let Some((record, position)) = given_back {
         let content = ObjectContent::Lease(record);
         let answer = store::write(
@@ -225,23 +231,23 @@
 }
 
 /// One step towards the lease; the token once this daemon holds it.
-async fn hold_lease(state: &Rc<GatewayState>) -> Option<u64> {
-    let jitter = Duration::from_millis(rand::rng().random_range(0..LONGEST_JITTER_MS));
-    let jitter = jitter + PAUSE_PER_RANK * state.peers.rank();
+async fn try_hold_lease(state: &Rc<GatewayState>) -> Option<u64> {
+    let jitter = Duration::from_millis(rand::rng().random_range(0..MAX_JITTER_MS));
+    let jitter = jitter + DELAY_PER_RANK * state.peers.rank();
     let action = {
         let mut lease = state.lease.borrow_mut();
-        lease.next(state.now(), jitter)
+        lease.next_action(state.now(), jitter)
     };
     match action {
         LeaseAction::Hold(token) => Some(token),
         LeaseAction::Wait(_) => None,
         LeaseAction::Write { record, expected } => {
-            let began = state.now();
+            let started_at = state.now();
             let content = ObjectContent::Lease(record.clone());
             let answer =
                 store::write(state, ObjectKind::Leases, LEASE_NAME, &content, expected).await;
             let mut lease = state.lease.borrow_mut();
-            let had_token = lease.token_at(began);
+            let had_token = lease.token_at(started_at);
             if !matches!(answer, WriteAnswer::Accepted(_)) {
                 log_event!(
                     gateway::ORDER_LEASE_NOT_ACQUIRED,
@@ -250,7 +256,7 @@
                     record.renewal
                 );
             }
-            lease.on_write(record, began, state.now(), answer);
+            lease.on_write(record, started_at, state.now(), answer);
             let token = lease.token_at(state.now());
             if let Some(token) = token.filter(|_| had_token.is_none()) {
                 log_event!(
@@ -265,7 +271,7 @@
 
 fn start_loads(
     state: &Rc<GatewayState>,
-    progress: &Rc<Progress>,
+    progress: &Rc<RolloutProgress>,
     service: &str,
     wanted: &ModelVersion,
 ) {
@@ -273,17 +279,17 @@
     let replicas = state.registry.of_service(service);
     let staying = replicas.iter().filter(|replica| !replica.is_leaving());
     let planned: Vec<PlannedReplica> = staying
-        .map(|replica| planned(state, progress, replica, wanted, now))
+        .map(|replica| planned_replica(state, progress, replica, wanted, now))
         .collect();
     for id in next_loads(&planned) {
         let Some(replica) = state.registry.get(&id) else {
             continue;
         };
-        progress.begin(&replica.incarnation);
+        progress.start(&replica.incarnation);
         let (state, progress, wanted) = (Rc::clone(state), Rc::clone(progress), wanted.clone());
         ntex::rt::spawn(async move {
-            let end = bring_up_to_date(&state, &replica, wanted, MAX_LOST_ORDERS).await;
-            progress.end(&replica.incarnation, end);
+            let outcome = bring_up_to_date(&state, &replica, wanted, MAX_UNANSWERED_ORDERS).await;
+            progress.finish(&replica.incarnation, outcome);
             state.rollout_wanted.notify_one();
         });
     }
@@ -291,15 +297,18 @@
 
 /// Suspected weights that can be tried now, each with the replica that is ordered to load them. Where all replicas have them there
 /// is nothing to order, and the lease is not kept for it.
-fn possible_trials(state: &GatewayState, progress: &Progress) -> Vec<(Rc<Replica>, ModelVersion)> {
+fn find_trials(
+    state: &GatewayState,
+    progress: &RolloutProgress,
+) -> Vec<(Rc<Replica>, ModelVersion)> {
     let due = state.suspected_weights.borrow().due(Instant::now());
-    let tried = progress.tried.borrow();
+    let models_in_trial = progress.models_in_trial.borrow();
     let untried = due
         .into_iter()
         .map(|suspicion| suspicion.weights)
-        .filter(|suspected| !tried.contains(&suspected.model));
+        .filter(|suspected| !models_in_trial.contains(&suspected.model));
     let with_replica = |suspected: ModelVersion| {
-        let replica = replica_for_trial(state, progress, &suspected)?;
+        let replica = choose_trial_replica(state, progress, &suspected)?;
         Some((replica, suspected))
     };
     untried.filter_map(with_replica).collect()
@@ -308,30 +317,37 @@
 /// Orders a replica to load suspected weights, which tells whether they were named.
 fn start_trial(
     state: &Rc<GatewayState>,
-    progress: &Rc<Progress>,
+    progress: &Rc<RolloutProgress>,
     replica: Rc<Replica>,
     suspected: ModelVersion,
 ) {
-    if !progress.begin(&replica.incarnation) {
+    if !progress.start(&replica.incarnation) {
         return;
     }
-    progress.tried.borrow_mut().insert(suspected.model.clone());
+    progress
+        .models_in_trial
+        .borrow_mut()
+        .insert(suspected.model.clone());
     let (state, progress) = (Rc::clone(state), Rc::clone(progress));
     ntex::rt::spawn(async move {
-        let end = bring_up_to_date(&state, &replica, suspected.clone(), MAX_LOST_TRIALS).await;
-        let is_refused = end == Err(LoadFailure::NotNamed);
+        let outcome =
+            bring_up_to_date(&state, &replica, suspected.clone(), MAX_UNANSWERED_TRIALS).await;
+        let is_refused = outcome == Err(LoadFailure::NotNamed);
         if is_refused {
-            note_refused(&state, &replica, &suspected);
+            record_refusal(&state, &replica, &suspected);
         }
-        progress.tried.borrow_mut().remove(&suspected.model);
+        progress
+            .models_in_trial
+            .borrow_mut()
+            .remove(&suspected.model);
         // Such a refusal says nothing against the replica.
-        let end = if is_refused { Ok(()) } else { end };
-        progress.end(&replica.incarnation, end);
+        let outcome = if is_refused { Ok(()) } else { outcome };
+        progress.finish(&replica.incarnation, outcome);
         state.rollout_wanted.notify_one();
     });
 }
 
-fn note_refused(state: &GatewayState, replica: &Replica, refused: &ModelVersion) {
+fn record_refusal(state: &GatewayState, replica: &Replica, refused: &ModelVersion) {
     let mut suspected = state.suspected_weights.borrow_mut();
     suspected.note_refused(refused, Instant::now());
     log_event!(
@@ -345,37 +361,37 @@
 
 /// The replica that is ordered to load suspected weights: the one of older weights with the fewest orders that failed, then the
 /// fewest open requests, of those that can be reached and load nothing. One that has the version itself would prove nothing, since its entry may be what is wrong.
-fn replica_for_trial(
+fn choose_trial_replica(
     state: &GatewayState,
-    progress: &Progress,
+    progress: &RolloutProgress,
     suspected: &ModelVersion,
 ) -> Option<Rc<Replica>> {
     let now = Instant::now();
     let may_be_ordered = |replica: &Rc<Replica>| {
-        let own = progress.of(&replica.incarnation);
+        let own = progress.get(&replica.incarnation);
         let is_older = replica
             .version_of(&suspected.model)
             .is_some_and(|version| version < suspected.version);
-        let is_paused = !own.pause(now).is_zero();
-        let is_free = !own.is_driven && !is_paused && replica.loading_since().is_none();
+        let is_backing_off = !own.remaining_backoff(now).is_zero();
+        let is_free = !own.is_loading && !is_backing_off && replica.loading_since().is_none();
         is_older && is_free && !replica.is_leaving() && !replica.health.is_unreachable(now)
     };
     // One that leaves orders unanswered gets few requests: it would come first each time.
-    let failures = |replica: &Rc<Replica>| progress.of(&replica.incarnation).failures_in_row;
+    let failures = |replica: &Rc<Replica>| progress.get(&replica.incarnation).consecutive_failures;
     let replicas = configured_replicas(state).into_iter();
     replicas
         .filter(may_be_ordered)
         .min_by_key(|replica| (failures(replica), replica.open_requests()))
 }
 
-fn planned(
+fn planned_replica(
     state: &GatewayState,
-    progress: &Progress,
+    progress: &RolloutProgress,
     replica: &Replica,
     wanted: &ModelVersion,
     now: Instant,
 ) -> PlannedReplica {
-    let own = progress.of(&replica.incarnation);
+    let own = progress.get(&replica.incarnation);
     let version = replica.version_of(&wanted.model);
     let deadline = state.times.get().weights_deadline;
     let weights = state.weights.borrow();
@@ -383,13 +399,13 @@
     let may_serve =
         |version| weights.may_serve(&wanted.model, version, now, deadline, Duration::ZERO);
     PlannedReplica {
-        is_out_of_use: version.is_some_and(|version| !may_serve(version)),
+        has_expired_weights: version.is_some_and(|version| !may_serve(version)),
         id: replica.id().to_owned(),
         zone: replica.entry().zone.clone(),
         outdated_version: version.filter(|version| *version < wanted.version),
-        is_loading: own.is_driven,
-        is_unreachable: own.failures_in_row > 0 || replica.health.is_unreachable(now),
+        is_loading: own.is_loading,
+        is_unreachable: own.consecutive_failures > 0 || replica.health.is_unreachable(now),
         open_requests: replica.open_requests(),
-        pause: own.pause(now),
+        remaining_backoff: own.remaining_backoff(now),
     }
 }
--- a/crates/gateway/src/rollout/token.rs
+++ b/crates/gateway/src/rollout/token.rs
@@ -7,7 +7,7 @@
 
 use crate::store::{StoreEra, StorePosition};
 
-/// Tokens of one era. A lease changes hands at most once in [`super::LeaseTimes::distance`] (some seconds), so they
+/// Tokens of one era. A lease changes hands at most once in [`super::LeaseTimes::handover_gap`] (some seconds), so they
 /// last for a month in which it does nothing else; and with up to 2,000 eras tokens stay below 2^31.
 const TOKENS_PER_ERA: u64 = 1 << 20;
 
@@ -27,8 +27,8 @@
 /// that had seen a higher one. They don't say which, so the step doubles: all 2^53 are passed within 53 refusals.
 pub fn next_token(highest: u64, era: StoreEra, refusals: u32) -> u64 {
     let step = 1 << refusals.saturating_sub(1).min(MAX_DOUBLINGS);
-    let known = highest.max(era_floor(era));
-    known.saturating_add(step).min(MAX_TOKEN)
+    let base = highest.max(era_floor(era));
+    base.saturating_add(step).min(MAX_TOKEN)
 }
 
 /// A token no lower than all that were given out up to `position`, where the lease can't be read: each was given out by a
@@ -38,6 +38,6 @@
         return position.revision.min(MAX_TOKEN / 2);
     }
     // The other half is left for those that follow.
-    let of_era = position.revision.min(TOKENS_PER_ERA / 2);
-    era_floor(position.era).saturating_add(of_era)
+    let era_offset = position.revision.min(TOKENS_PER_ERA / 2);
+    era_floor(position.era).saturating_add(era_offset)
 }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -18,7 +18,7 @@
 use crate::configuration::Configuration;
 use crate::peers::message::{Change, Item, ItemKey, WireDaemon};
 use crate::protocol::{ObjectContent, ObjectKind, StoredObject};
-use crate::rollout::{LEASE_NAME, record_in};
+use crate::rollout::{LEASE_NAME, lease_record};
 use crate::state::{GatewayState, STARTUP_WINDOW};
 
 /// How long a watch waits for a change.
@@ -273,7 +273,7 @@
     if kind == ObjectKind::Leases {
         if object.name == LEASE_NAME {
             let mut lease = state.lease.borrow_mut();
-            lease.on_seen(state.now(), object.position, record_in(&object));
+            lease.on_seen(state.now(), object.position, lease_record(&object));
         }
         return note_unreadable(state, kind, &object);
     }
@@ -305,7 +305,7 @@
 
 fn apply_lease_list(state: &GatewayState, objects: Vec<StoredObject>) {
     let lease = objects.iter().find(|object| object.name == LEASE_NAME);
-    let known = lease.map(|object| (object.position, record_in(object)));
+    let known = lease.map(|object| (object.position, lease_record(object)));
     state.lease.borrow_mut().on_list(state.now(), known);
     for object in &objects {
         note_unreadable(state, ObjectKind::Leases, object);
