--- a/crates/gateway/src/rollout/lease.rs
+++ b/crates/gateway/src/rollout/lease.rs
@@ -1,22 +1,22 @@
-//! The lease under which one daemon gives orders to replicas.
+//! Lease under which one gateway gives orders to replicas.
 //!
-//! Unlike the lease of the daemon's other tasks it is taken only while there is something to order: an
-//! idle one costs no call. It is an object in the store, changed on condition of its revision. A holder
-//! may give orders until [`LeaseTimes::term`] after it *began* the write that gave it the lease. Another
-//! daemon may take it once it has seen the object unchanged for the term and a further
-//! [`LeaseTimes::handover_gap`], so that orders of two holders lie at least the distance apart, whatever
-//! became of messages. Tokens rise with each acquisition, so none is used twice (see [`super::token`]).
+//! Unlike the lease of the gateway's other tasks it is acquired only while there is something to order, so an idle
+//! lease costs no calls. The lease is an object in the store that is written on condition of its revision. A holder may
+//! give orders until [`LeaseTimes::term`] after the *start* of the write that gave it the lease. Another gateway may
+//! take the lease once it has seen the object unchanged for the term plus [`LeaseTimes::handover_gap`], so that orders
+//! of two holders are at least the gap apart, even if messages are lost or delayed. The token rises with each
+//! acquisition, so none is used twice (see [`super::token`]).
 //!
-//! A process that was started again takes up the lease of the process before it, under the next token and
-//! without a wait: a machine runs one gateway at a time, so the earlier one has ended and gives no more orders.
+//! A restarted process takes over the lease of its predecessor at once, under the next token: a machine runs one
+//! gateway at a time, so the predecessor has ended and gives no more orders.
 //!
-//! A store that comes back from a copy, in a new era, may have lost the last holder's record. So a record that was not
-//! written in the era in which it is read proves nothing of who holds the lease: whatever holder it names, also none, and also
-//! where there is none, every daemon waits for the term and the distance. Only the last holder may go on, or take it again,
-//! at once: up to the term and the distance after its last write nobody else can have the lease; it writes it anew under a
-//! token of the new era.
+//! A store that comes back from a copy, in a new era, may have lost the record of the last holder. A record that was
+//! not written in the era in which it is read therefore does not prove who holds the lease. If the record is of another
+//! era or missing, every gateway waits for the term plus the gap, whatever holder the record names. Only the last
+//! holder may continue, or acquire the lease again, at once: until the term plus the gap after its last write no other
+//! gateway can have the lease. It writes the lease again under a token of the new era.
 //!
-//! Times are of one steady clock, as durations since any fixed moment.
+//! All times are durations since the same arbitrary moment, measured by one monotonic clock.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -25,36 +25,36 @@
 use crate::protocol::{LeaseRecord, ObjectContent, StoredObject, WriteAnswer};
 use crate::store::{StoreEra, StorePosition};
 
-/// The times of the lease; all daemons must have the same.
+/// Times of the lease; they must be the same on all gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseTimes {
-    /// How long a holder may give orders after it began its last successful write.
+    /// How long a holder may give orders after the start of its last successful write.
     pub term: Duration,
-    /// How far orders of two holders must lie apart.
+    /// Minimum time between orders of two holders.
     pub handover_gap: Duration,
-    /// How long after a successful write the next renewal begins.
+    /// Time from the start of a successful write to the next renewal.
     pub renewal_interval: Duration,
-    /// How long the last holder is waited for, although others could take the lease.
+    /// How long other gateways give the last holder the chance to take the lease again, although they could take it.
     pub takeover_delay: Duration,
 }
 
-/// What a daemon that wants to give orders does next.
+/// Next step of a gateway that wants to give orders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// It may give orders under this token.
+    /// Give orders under this token.
     Hold(u64),
-    /// Write this record on condition of this position, then [`OrderLease::on_write`].
+    /// Write this record on condition of this position, then call [`OrderLease::on_write`].
     Write {
-        /// The record.
+        /// Record to write.
         record: LeaseRecord,
-        /// The position that the object must have; none where it must not exist.
+        /// Position that the object must have; `None` if it must not exist.
         expected: Option<StorePosition>,
     },
-    /// Nothing for so long.
+    /// Wait for this long.
     Wait(Duration),
 }
 
-/// The object as last seen.
+/// The lease object as last seen in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct SeenRecord {
     position: StorePosition,
@@ -63,45 +63,46 @@
 }
 
 impl SeenRecord {
-    /// Whether it was written in the era in which it is read: one that was not may come from the copy, or may be a write of
-    /// an earlier era that took effect late, whose condition meant another change.
+    /// Whether the record was written in the era in which it was read. Otherwise it may come from the copy, or be a
+    /// late write of an earlier era whose condition referred to a different change.
     fn is_from_read_era(&self) -> bool {
         self.record.era == self.position.era
     }
 }
 
-/// The lease as this daemon holds or held it; nothing where another one may have it.
+/// The lease as this gateway holds or last held it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct HeldLease {
     token: u64,
-    /// Until when it may give orders.
+    /// Time until which this gateway may give orders.
     valid_until: Duration,
-    /// Until when nobody else can have taken the lease in the same era: everybody waits for the distance too.
+    /// Time until which no other gateway can have taken the lease in the same era, since others also wait for the
+    /// handover gap.
     exclusive_until: Duration,
 }
 
-/// What a daemon knows of the lease.
+/// State of the lease as known to one gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct OrderLease {
     machine: String,
     incarnation: u64,
     times: LeaseTimes,
     is_first_start: bool,
-    /// The latest era of the store that is known here.
+    /// Latest known era of the store.
     era: StoreEra,
-    /// The object, where this era is known to have one.
+    /// The lease object, if it is known to exist in this era.
     seen: Option<SeenRecord>,
-    /// Whether this era is known to have the object, or not to have it.
+    /// Whether it is known if the object exists in this era.
     is_presence_known: bool,
-    /// From when on nobody else holds the lease where the store has no object.
+    /// Time from which a missing object means that no gateway holds the lease.
     free_if_missing_at: Duration,
     held: Option<HeldLease>,
-    /// The highest token that is known, of all eras.
+    /// Highest known token of all eras.
     highest_token: u64,
     renew_at: Duration,
     wanted_since: Option<Duration>,
     retry_at: Duration,
-    /// Refusals in a row by replicas that had seen a higher token.
+    /// Number of consecutive refusals by replicas that had seen a higher token.
     refusals: u32,
     is_fenced: bool,
     consecutive_failures: u32,
@@ -109,7 +110,8 @@
 }
 
 impl OrderLease {
-    /// What a process on `machine` knows that knows nothing of the lease yet; `incarnation` tells it from others there.
+    /// Creates the state of a process on `machine` that knows nothing of the lease yet; `incarnation` identifies the
+    /// process among those of the machine.
     pub fn new(machine: &str, incarnation: u64, times: LeaseTimes) -> Self {
         Self {
             machine: machine.to_owned(),
@@ -132,14 +134,14 @@
         }
     }
 
-    /// The same where the whole system starts for the first time: nobody has held the lease before the first era that this
-    /// process gets to know.
+    /// Sets whether the whole system starts for the first time. In this case no gateway has held the lease before the
+    /// first era that this process learns of.
     pub fn at_first_start(mut self, is_first_start: bool) -> Self {
         self.is_first_start = is_first_start;
         self
     }
 
-    /// Takes in that the object, or its absence, was read from the store in the latest era that is known here.
+    /// Records that the object, or its absence, was read from the store in the latest known era.
     pub fn on_list(&mut self, now: Duration, object: Option<(StorePosition, LeaseRecord)>) {
         self.is_presence_known = true;
         if let Some((position, record)) = object {
@@ -147,8 +149,8 @@
         }
     }
 
-    /// Takes in that the store had reached `position` by `now`: whatever has it or an earlier one was written
-    /// before, even if it is seen later.
+    /// Records that the store had reached `position` by `now`: objects with this position or an earlier one were
+    /// written before `now`, even if they are seen later.
     pub fn on_store_position(&mut self, now: Duration, position: StorePosition) {
         self.enter_era(now, position.era);
         let is_new = self
@@ -163,15 +165,15 @@
         }
     }
 
-    /// The earliest time by which the store is known to have reached `position`.
+    /// Earliest time by which the store is known to have reached `position`.
     fn reached_at(&self, position: StorePosition) -> Option<Duration> {
         let mut reached_positions = self.reached_positions.iter();
         let first = reached_positions.find(|(_, known)| *known >= position)?;
         Some(first.0)
     }
 
-    /// Takes in an era of the store. In a later one than was known nothing that was seen counts any more; the lease that is
-    /// held lasts until its term ends, and is written anew at once.
+    /// Handles an era named by the store. A later era than the known one invalidates the record that was seen; a held
+    /// lease stays valid until its term ends, and is written again at once.
     fn enter_era(&mut self, now: Duration, era: StoreEra) {
         if era <= self.era {
             return;
@@ -186,17 +188,17 @@
         self.renew_at = now;
     }
 
-    /// Takes in a token that was given out, or that another daemon knows.
+    /// Records a token that was given out or that another gateway knows.
     pub fn on_token(&mut self, token: u64) {
         self.highest_token = self.highest_token.max(token.min(MAX_TOKEN));
     }
 
-    /// The highest token that is known; 0 for none.
+    /// Highest known token; 0 if none is known.
     pub fn highest_token(&self) -> u64 {
         self.highest_token
     }
 
-    /// Takes in the object as seen; earlier positions are ignored, but for their tokens.
+    /// Records the object as seen in the store. Of an object with an earlier position only the token is used.
     pub fn on_seen(&mut self, now: Duration, position: StorePosition, record: LeaseRecord) {
         self.on_token(record.token);
         self.enter_era(now, position.era);
@@ -224,27 +226,28 @@
         Some((seen.position, &seen.record))
     }
 
-    /// The token under which an order may be given at `now`.
+    /// Token under which orders may be given at `now`; `None` if this gateway may not give any.
     pub fn token_at(&self, now: Duration) -> Option<u64> {
         let held = self.held.filter(|held| now < held.valid_until)?;
         Some(held.token)
     }
 
-    /// A replica has seen a higher token: this one may not be used again.
+    /// Handles the refusal of an order by a replica that has seen a higher token: the current token must not be used
+    /// again.
     pub fn on_fenced(&mut self) {
         self.is_fenced = true;
         self.refusals += 1;
         self.held = None;
     }
 
-    /// There is nothing to order any more.
+    /// Records that there is nothing to order any more.
     pub fn on_idle(&mut self) {
         self.wanted_since = None;
         self.refusals = 0;
     }
 
-    /// The record that gives the lease back, with the position that the object must have; nothing where this
-    /// daemon does not hold it. It must give no order from now on.
+    /// Releases the lease. Returns the record that makes it free, and the position that the object must have; `None` if
+    /// this gateway does not hold the lease. The gateway must give no more orders.
     pub fn release(&mut self) -> Option<(LeaseRecord, StorePosition)> {
         self.held = None;
         let seen = self
@@ -261,7 +264,7 @@
         Some((record, seen.position))
     }
 
-    /// Forgets what lies before `now`: the lease that was held, waits.
+    /// Clears times that have passed: those of the held lease and of waits.
     pub fn clear_past_times(&mut self, now: Duration) {
         self.held = self.held.filter(|held| now < held.exclusive_until);
         for moment in [
@@ -275,7 +278,7 @@
         }
     }
 
-    /// What to do at `now` in order to give orders; `jitter` sets daemons apart that begin together.
+    /// Next step at `now` towards giving orders; `jitter` spreads the attempts of gateways that start at the same time.
     pub fn next_action(&mut self, now: Duration, jitter: Duration) -> LeaseAction {
         self.clear_past_times(now);
         let wanted_since = *self.wanted_since.get_or_insert(now);
@@ -317,7 +320,7 @@
         self.write_after(free_at.max(takeover_at), now, Some(seen))
     }
 
-    /// Takes in what became of a write that began at `started_at` and ended at `ended_at`.
+    /// Handles the answer of a write that lasted from `started_at` to `ended_at`.
     pub fn on_write(
         &mut self,
         record: LeaseRecord,
@@ -326,7 +329,8 @@
         answer: WriteAnswer,
     ) {
         match answer {
-            // It took effect in another era than that of its condition: the object there may have been another holder's.
+            // The write took effect in an era other than that of its condition, so it may have replaced another
+            // holder's object.
             WriteAnswer::Accepted(position) if position.era != record.era => {
                 self.on_seen(ended_at, position, record);
                 self.retry_at = ended_at + RETRY_BACKOFF;
@@ -353,7 +357,7 @@
             }
             WriteAnswer::Conflict(None) | WriteAnswer::Busy | WriteAnswer::Unknown => {
                 if matches!(answer, WriteAnswer::Conflict(None)) && self.seen.take().is_some() {
-                    // It is gone, and so is what it said of a holder.
+                    // The object has been removed, so its record no longer tells who holds the lease.
                     self.free_if_missing_at = ended_at + self.times.term + self.times.handover_gap;
                 }
                 let backoff = RETRY_BACKOFF.saturating_mul(1 << self.consecutive_failures.min(4));
@@ -367,8 +371,9 @@
         record.holder == self.machine && record.incarnation == self.incarnation
     }
 
-    /// Whether an object as seen shows that another daemon holds the lease. A write of an earlier era that took effect late
-    /// does not: its writer does not count it. A daemon that knows nothing of eras does.
+    /// Whether the object shows that another gateway holds the lease. A late write of an earlier era does not, since
+    /// its writer does not count it as acquired. A record without an era does: it was written by a gateway that knows
+    /// nothing of eras.
     fn shows_other_holder(&self, seen: &SeenRecord) -> bool {
         let is_late = !seen.is_from_read_era() && seen.record.era != StoreEra::UNNAMED;
         !is_late && !self.is_own_record(&seen.record)
@@ -402,8 +407,8 @@
     }
 }
 
-/// The record in the lease's object. One that can't be read, or whose token is none, counts as held by another: nobody knows
-/// who wrote it.
+/// Returns the record of the lease object. A lease that can't be read, or whose token is out of range, counts as held
+/// by another gateway, since its writer is unknown.
 pub fn lease_record(object: &StoredObject) -> LeaseRecord {
     match &object.content {
         Ok(ObjectContent::Lease(record)) if record.token < MAX_TOKEN => record.clone(),
@@ -417,11 +422,11 @@
     }
 }
 
-/// Who holds a lease that can't be read; no machine has this name.
+/// Holder of a lease that can't be read; no machine has this name.
 const UNKNOWN_HOLDER: &str = "?";
 
-/// The pause after the first write that failed; each further one in a row twice as long, up to 16 times.
+/// Backoff after the first failed write; it doubles with each further failure in a row, up to 16 times.
 const RETRY_BACKOFF: Duration = Duration::from_millis(60);
 
-/// Positions of the store whose time is remembered.
+/// Maximum number of store positions whose times are kept.
 const MAX_REACHED_POSITIONS: usize = 64;
--- a/crates/gateway/src/rollout/load.rs
+++ b/crates/gateway/src/rollout/load.rs
@@ -1,4 +1,5 @@
-//! Brings one replica to the wanted weights: orders until it has taken the order, and waits until it has loaded.
+//! Brings one replica to the wanted weights: repeats the order until the replica has accepted it, then waits until the
+//! weights are loaded.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,43 +17,45 @@
 use crate::store::{Rejected, record_wanted_weights};
 use crate::upstream::{self, CallError};
 
-/// How long an order's answer is waited for.
+/// Timeout of an order's answer.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a replica's description is waited for.
+/// Timeout of a replica's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The time between two descriptions of a replica that loads.
+/// Interval between two reports of a replica that is loading.
 const REPORT_INTERVAL: Duration = Duration::from_millis(120);
 
-/// How long a replica may load before it counts as failed.
+/// Time after which a load counts as failed.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Orders without an answer after which a replica is left alone for a while.
+/// Number of unanswered orders after which the gateway backs off from a replica.
 pub(super) const MAX_UNANSWERED_ORDERS: u32 = 12;
 
-/// The same where any other replica can be asked as well, so that two silent ones hold suspected weights up for 1.6 s and not
-/// for 9.6 s, which is longer than older weights may serve.
+/// Like [`MAX_UNANSWERED_ORDERS`], for trials of suspected weights, which any other replica can take as well. Two
+/// replicas that do not answer delay a trial by 1.6 s instead of 9.6 s, which is longer than older weights may serve.
 pub(super) const MAX_UNANSWERED_TRIALS: u32 = 2;
 
-/// Orders after which a replica is left alone for a while, whatever it answers.
+/// Number of orders after which the gateway backs off from a replica, whatever it answers.
 const MAX_ORDERS: u32 = 12;
 
-/// A report that is not busy tells nothing before an order has had time to show.
+/// Time that an order takes to show in reports; until then a report that is not busy does not mean that the load has
+/// ended.
 const REPORT_LAG: Duration = Duration::from_millis(900);
 
-/// Why a replica has not got the weights.
+/// Why a replica did not load the weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LoadFailure {
-    /// It could not be reached, did not take the order or did not load.
+    /// The replica could not be reached, did not accept the order or did not load.
     ReplicaFailed,
-    /// It refused the version, as one that was not named.
+    /// The replica refused the version because it was not named.
     NotNamed,
-    /// This daemon may not give orders any more.
+    /// This gateway may not give orders any more.
     MayNotOrder,
 }
 
-/// Orders one replica to load and waits until it has the weights; gives up after `max_unanswered` orders without an answer.
+/// Orders one replica to load the wanted weights and waits until it has them. Gives up after `max_unanswered` orders
+/// without an answer.
 pub(super) async fn bring_up_to_date(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
@@ -81,7 +84,8 @@
     }
 }
 
-/// Takes a version for named that a replica has taken an order for: it refuses those that were not.
+/// Records a suspected version as wanted after a replica has accepted an order for it: replicas refuse versions that
+/// were not named.
 pub fn record_if_suspected(state: &GatewayState, taken: &ModelVersion) {
     let since = state.suspected_weights.borrow().since(taken);
     if let Some(since) = since {
@@ -89,8 +93,8 @@
     }
 }
 
-/// Tells the other daemons, so that they send no requests to a replica that is loading; `outcome` is how it went, once it has
-/// ended.
+/// Announces the state of a load to the other gateways, which send no requests to a replica that is loading. `outcome`
+/// is `None` until the load has ended.
 fn report_status(
     state: &GatewayState,
     replica: &Replica,
@@ -108,7 +112,7 @@
     });
 }
 
-/// Gives the order until the replica has taken it.
+/// Repeats the order until the replica has accepted it.
 async fn order_until_taken(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
@@ -120,7 +124,7 @@
     }
     let mut unanswered = 0;
     for _ in 0..MAX_ORDERS {
-        // It must not run out before the order has been sent: a connection may have to come up first.
+        // The token must stay valid until the order is sent, which may first require a new connection.
         let Some(token) = state.lease.borrow().token_at(state.now() + ORDER_TIMEOUT) else {
             return Err(LoadFailure::MayNotOrder);
         };
@@ -136,7 +140,8 @@
             expected_sequence: replica.order_sequence(),
         };
         let call = state.platform.order(&order);
-        // Timers stand still with the machine, so the token may have run out while the connection came up.
+        // Timers stop while the machine is suspended, so the token may have expired while the connection was
+        // established.
         let holds_token = || state.lease.borrow().token_at(state.now()) == Some(token);
         let answer = upstream::call_if(&replica.pool, &call, ORDER_TIMEOUT, holds_token).await;
         let answer = answer.map(|(status, _)| state.platform.read_order(status));
@@ -174,7 +179,7 @@
     Err(LoadFailure::ReplicaFailed)
 }
 
-/// After a conflict: the replica is doing something else, or was ordered by another daemon before.
+/// Handles a conflict: the replica is busy, or another gateway has given it an order since.
 async fn resolve_conflict(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
@@ -191,7 +196,7 @@
     true
 }
 
-/// Learns how many orders a replica has taken; false where it does not say.
+/// Fetches the number of orders that a replica has accepted; returns false if it sends no report.
 async fn fetch_order_sequence(state: &Rc<GatewayState>, replica: &Rc<Replica>) -> bool {
     let Some(report) = fetch_report(state, replica).await else {
         return false;
@@ -205,7 +210,7 @@
     replica.record_models(&report.models);
 }
 
-/// Waits until the replica reports the weights.
+/// Waits until the replica reports the wanted weights.
 async fn wait_until_loaded(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
@@ -244,18 +249,24 @@
     let call = state.platform.report();
     let answer = upstream::call(&replica.pool, &call, REPORT_TIMEOUT).await;
     let failed = |error: &upstream::CallError| {
-        log::debug!("no report of {:?}: {error}", replica.incarnation);
+        log::debug!(
+            "could not fetch the report of {:?}: {error}",
+            replica.incarnation
+        );
     };
     let (status, body) = answer.inspect_err(failed).ok()?;
     if !status.is_success() {
-        log::debug!("{:?} answered {status} for a report", replica.incarnation);
+        log::debug!(
+            "report request to {:?} failed with status {status}",
+            replica.incarnation
+        );
         return None;
     }
     match state.platform.read_report(&body) {
         Ok(report) if is_from_incarnation(&report, replica) => Some(report),
         Ok(report) => {
             log::debug!(
-                "report of {:?}, not of {:?}",
+                "report is from incarnation born={:?}, expected {:?}",
                 report.born,
                 replica.incarnation
             );
@@ -269,7 +280,8 @@
     }
 }
 
-/// Whether a report is not that of another life, which has taken other orders and may have other weights.
+/// Whether a report may be from this incarnation of the replica. Another incarnation has accepted other orders and may
+/// have other weights.
 fn is_from_incarnation(report: &ReplicaReport, replica: &Replica) -> bool {
     report.born.is_none() || report.born == replica.incarnation.born
 }
--- a/crates/gateway/src/rollout/mod.rs
+++ b/crates/gateway/src/rollout/mod.rs
@@ -1,10 +1,10 @@
-//! New weights, ordered by one daemon at a time.
+//! Rollout of new weights to the replicas, ordered by one gateway at a time.
 //!
-//! - [`lease`]: which daemon may give orders, and until when.
+//! - [`lease`]: which gateway may give orders, and until when.
 //! - [`load`]: brings one replica to the wanted weights.
-//! - [`plan`]: which replicas load next.
-//! - [`token`]: which fencing token is next.
-//! - [`task`]: does it.
+//! - [`plan`]: chooses the replicas that load next.
+//! - [`token`]: computes the next fencing token.
+//! - [`task`]: runs the rollout.
 
 pub mod lease;
 mod load;
--- a/crates/gateway/src/rollout/plan.rs
+++ b/crates/gateway/src/rollout/plan.rs
@@ -1,41 +1,42 @@
-//! Which replicas load new weights next.
+//! Choice of the replicas that load new weights next.
 
 use std::time::Duration;
 
-/// A replica in the eyes of the plan.
+/// What the plan needs to know of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedReplica {
-    /// Its id.
+    /// Id of the replica.
     pub id: String,
-    /// Its zone.
+    /// Zone of the replica.
     pub zone: String,
-    /// The version of its weights, where that is older than wanted.
+    /// Version of its weights if that is older than the wanted one.
     pub outdated_version: Option<u64>,
-    /// Whether it is loading, or was told to.
+    /// Whether the replica is loading weights or was ordered to.
     pub is_loading: bool,
-    /// Requests of this daemon that are open there.
+    /// Number of open requests of this gateway at the replica.
     pub open_requests: u32,
-    /// How long it is left alone after an order that failed.
+    /// How long the replica gets no further order after one that failed.
     pub remaining_backoff: Duration,
     /// Whether its weights are so old that it gets no requests.
     pub has_expired_weights: bool,
-    /// Whether it could not be reached lately, by requests or by orders.
+    /// Whether recent requests or orders did not reach it.
     pub is_unreachable: bool,
 }
 
-/// One in so many replicas of a service loads at once: the store of weights serves about so many at full
-/// speed, and the others have to bear the traffic meanwhile.
+/// Ratio of the replicas of a service to those that load at once. The weight store serves about this share of them at full
+/// speed, and the other replicas have to bear the traffic meanwhile.
 const REPLICAS_PER_LOAD: usize = 5;
 
-/// How many replicas of a service may load at once; rounded half up.
+/// Number of replicas of a service that may load at once, rounded half up.
 pub fn parallel_loads(replicas: usize) -> usize {
     ((2 * replicas + REPLICAS_PER_LOAD) / (2 * REPLICAS_PER_LOAD)).max(1)
 }
 
-/// The replicas that should load now: all that are out of use until they do, even beyond the number that
-/// may load at once, since nobody misses them meanwhile; then those that can be reached before the others, the
-/// oldest weights first, no two of one zone before every zone has one, and those with the fewest open requests
-/// first.
+/// Returns the ids of the replicas that should load now.
+///
+/// All replicas with expired weights are included, even beyond the number that may load at once, since they serve no
+/// requests until they have loaded. The others are ordered by whether they can be reached, by the age of their weights
+/// (oldest first), by the number of loads in their zone, and by open requests (fewest first).
 pub fn next_loads(replicas: &[PlannedReplica]) -> Vec<String> {
     let loading = replicas.iter().filter(|replica| replica.is_loading);
     let mut loading_zones: Vec<&str> = loading.map(|replica| replica.zone.as_str()).collect();
--- a/crates/gateway/src/rollout/task.rs
+++ b/crates/gateway/src/rollout/task.rs
@@ -1,4 +1,4 @@
-//! Brings every replica to the wanted weights, while this daemon holds the lease.
+//! Task that brings all replicas to the wanted weights while this gateway holds the order lease.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -20,27 +20,27 @@
 use crate::state::GatewayState;
 use crate::store;
 
-/// The name of the lease's object.
+/// Name of the lease's object in the store.
 pub const LEASE_NAME: &str = "weights";
 
-/// How often the task looks for work where nothing wakes it.
+/// Interval at which the task checks for work unless it is woken earlier.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a replica is left alone after an order that failed; each further one in a row twice as long.
+/// Backoff from a replica after a failed order; it doubles with each further failure in a row.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// The longest such pause: a replica that is back has to load within the seconds in which its weights may serve.
+/// Maximum backoff: a replica that is back has to load within the few seconds for which its weights may still serve.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The longest random wait that sets daemons apart.
+/// Maximum random delay that keeps gateways from asking for the lease at the same time.
 const MAX_JITTER_MS: u64 = 250;
 
-/// How much longer each next in rank of a group waits before it asks for the lease: by then it mostly knows that one
-/// before it has it. Hundreds of daemons hear of new weights at once (295 machines: 293 writes to the store for one
-/// lease without it).
+/// Additional delay per rank in the group before a gateway asks for the lease, so that it usually learns first that a
+/// gateway of a higher rank holds it. Hundreds of gateways learn of new weights at once: without this delay 295
+/// machines made 293 writes to the store for one lease.
 const DELAY_PER_RANK: Duration = Duration::from_millis(25);
 
-/// The times of the lease under the settings.
+/// Returns the times of the lease, given the minimum time between orders of two holders.
 pub fn lease_times(handover_gap: Duration) -> LeaseTimes {
     LeaseTimes {
         term: Duration::from_millis(1800),
@@ -50,22 +50,22 @@
     }
 }
 
-/// What the task keeps of each replica.
+/// State of the loads of all replicas.
 #[derive(Debug, Default)]
 struct RolloutProgress {
     by_replica: RefCell<HashMap<ReplicaIncarnation, ReplicaProgress>>,
-    /// Models of which a suspected version is tried just now.
+    /// Models of which a suspected version is being tried.
     models_in_trial: RefCell<HashSet<String>>,
 }
 
 impl RolloutProgress {
-    /// What is known of this life.
+    /// Returns the state of the loads of an incarnation of a replica.
     fn get(&self, incarnation: &ReplicaIncarnation) -> ReplicaProgress {
         let by_replica = self.by_replica.borrow();
         by_replica.get(incarnation).copied().unwrap_or_default()
     }
 
-    /// Takes in that a life is ordered to load; false where it was already.
+    /// Records that a replica is ordered to load; returns false if it already was.
     fn start(&self, incarnation: &ReplicaIncarnation) -> bool {
         let mut by_replica = self.by_replica.borrow_mut();
         let is_loading = &mut by_replica
@@ -75,7 +75,7 @@
         !std::mem::replace(is_loading, true)
     }
 
-    /// Takes in that loading has ended.
+    /// Records that a load has ended.
     fn finish(&self, incarnation: &ReplicaIncarnation, outcome: Result<(), LoadFailure>) {
         let mut by_replica = self.by_replica.borrow_mut();
         let own = by_replica.entry(incarnation.clone()).or_default();
@@ -83,7 +83,7 @@
     }
 }
 
-/// What is known of one replica's orders.
+/// State of the loads of one replica.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReplicaProgress {
     is_loading: bool,
@@ -92,13 +92,13 @@
 }
 
 impl ReplicaProgress {
-    /// How long it is left alone yet.
+    /// Time until the replica may get the next order.
     fn remaining_backoff(&self, now: Instant) -> Duration {
         self.backoff_until
             .map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Takes in that loading has ended.
+    /// Updates the state after a load has ended.
     fn record_outcome(&mut self, outcome: Result<(), LoadFailure>, now: Instant) {
         self.is_loading = false;
         if !matches!(
@@ -115,7 +115,7 @@
     }
 }
 
-/// Looks for outdated replicas for ever, and brings them up to date.
+/// Brings outdated replicas up to date until the gateway stops.
 pub async fn run(state: Rc<GatewayState>) {
     let progress = Rc::new(RolloutProgress::default());
     loop {
@@ -127,15 +127,15 @@
             return release_lease(&state).await;
         }
         if !may_order_loads(&state) {
-            // A survey looks at every replica, of which there may be thousands: members of large groups leave it to the few that
-            // may order loads.
+            // A survey examines every replica, of which there may be thousands. Most members of a large group leave it
+            // to the few that may order loads.
             state.lease.borrow_mut().on_idle();
             continue;
         }
         let survey = survey(&state);
         store::note_shown_weights(&state, &survey.shown);
         let trials = find_trials(&state, &progress);
-        // A trial that is under way needs the lease until its end.
+        // The lease is needed until a running trial ends.
         let is_trying = !progress.models_in_trial.borrow().is_empty();
         if survey.outdated.is_empty() && trials.is_empty() && !is_trying {
             state.lease.borrow_mut().on_idle();
@@ -153,13 +153,13 @@
     }
 }
 
-/// Whether this daemon holds the lease, or is one of those that may call the store on their own account.
+/// Whether this gateway holds the lease or is one of the few that may call the store themselves.
 fn may_order_loads(state: &GatewayState) -> bool {
     let holds = state.lease.borrow().token_at(state.now()).is_some();
     holds || state.peers.may_read.get()
 }
 
-/// Gives the lease back before a planned stop, so that another daemon need not wait for its end.
+/// Releases the lease before a planned stop, so that another gateway does not have to wait for its expiry.
 async fn release_lease(state: &Rc<GatewayState>) {
     let given_back = state.lease.borrow_mut().release();
     if let Some((record, position)) = given_back {
@@ -179,12 +179,12 @@
     }
 }
 
-/// What the entries of replicas say of their weights.
+/// Weights of the replicas according to their entries.
 #[derive(Debug, Default)]
 struct Survey {
-    /// Services with outdated replicas, and the weights that these should have.
+    /// Services with outdated replicas, and the weights that these should load.
     outdated: Vec<(String, ModelVersion)>,
-    /// Models of which a replica has a newer version than is known, and the lowest such version.
+    /// Models of which a replica has a newer version than the wanted one, with the lowest such version.
     shown: HashMap<String, u64>,
 }
 
@@ -218,7 +218,7 @@
     found
 }
 
-/// The replicas of services that the configuration names; entries of other writers may name any.
+/// Returns the replicas of configured services; entries of other writers may name any service.
 fn configured_replicas(state: &GatewayState) -> Vec<Rc<Replica>> {
     let configuration = state.configuration.load();
     let is_of_service = |entry: &ReplicaEntry| {
@@ -230,7 +230,7 @@
     replicas
 }
 
-/// One step towards the lease; the token once this daemon holds it.
+/// Takes the next step to acquire or renew the lease; returns the token if this gateway holds it.
 async fn try_hold_lease(state: &Rc<GatewayState>) -> Option<u64> {
     let jitter = Duration::from_millis(rand::rng().random_range(0..MAX_JITTER_MS));
     let jitter = jitter + DELAY_PER_RANK * state.peers.rank();
@@ -295,8 +295,8 @@
     }
 }
 
-/// Suspected weights that can be tried now, each with the replica that is ordered to load them. Where all replicas have them there
-/// is nothing to order, and the lease is not kept for it.
+/// Returns the suspected weights that can be tried now, each with the replica to try them on. If all replicas already
+/// have them, there is nothing to order, and the lease is not held for them.
 fn find_trials(
     state: &GatewayState,
     progress: &RolloutProgress,
@@ -314,7 +314,7 @@
     untried.filter_map(with_replica).collect()
 }
 
-/// Orders a replica to load suspected weights, which tells whether they were named.
+/// Orders a replica to load suspected weights, which shows whether they were named.
 fn start_trial(
     state: &Rc<GatewayState>,
     progress: &Rc<RolloutProgress>,
@@ -340,7 +340,7 @@
             .models_in_trial
             .borrow_mut()
             .remove(&suspected.model);
-        // Such a refusal says nothing against the replica.
+        // A refusal of a version that was not named does not count as a failure of the replica.
         let outcome = if is_refused { Ok(()) } else { outcome };
         progress.finish(&replica.incarnation, outcome);
         state.rollout_wanted.notify_one();
@@ -359,8 +359,9 @@
     );
 }
 
-/// The replica that is ordered to load suspected weights: the one of older weights with the fewest orders that failed, then the
-/// fewest open requests, of those that can be reached and load nothing. One that has the version itself would prove nothing, since its entry may be what is wrong.
+/// Chooses the replica to try suspected weights on: among replicas with older weights that can be reached and are not
+/// loading, the one with the fewest failed orders, then the fewest open requests. A replica that already reports the
+/// version would prove nothing, since its entry may be wrong.
 fn choose_trial_replica(
     state: &GatewayState,
     progress: &RolloutProgress,
@@ -376,7 +377,7 @@
         let is_free = !own.is_loading && !is_backing_off && replica.loading_since().is_none();
         is_older && is_free && !replica.is_leaving() && !replica.health.is_unreachable(now)
     };
-    // One that leaves orders unanswered gets few requests: it would come first each time.
+    // A replica that does not answer orders gets few requests, so open requests alone would choose it each time.
     let failures = |replica: &Rc<Replica>| progress.get(&replica.incarnation).consecutive_failures;
     let replicas = configured_replicas(state).into_iter();
     replicas
@@ -395,7 +396,8 @@
     let version = replica.version_of(&wanted.model);
     let deadline = state.times.get().weights_deadline;
     let weights = state.weights.borrow();
-    // However long requests wait: else all replicas could load at once just when they are overloaded.
+    // The time that requests wait is not taken into account: otherwise all replicas could load at once just when they
+    // are overloaded.
     let may_serve =
         |version| weights.may_serve(&wanted.model, version, now, deadline, Duration::ZERO);
     PlannedReplica {
