--- a/crates/gateway/src/cache/follow.rs
+++ b/crates/gateway/src/cache/follow.rs
@@ -8,33 +8,33 @@
 
 use bytes::Bytes;
 
-use super::kept::{CachedNews, KeptChange};
+use super::kept::{CacheUpdate, CachedPartChange};
 use crate::protocol::{CachePage, Call, UnreadableReason};
 use crate::state::GatewayState;
 use crate::store::Rejected;
 use crate::upstream::{self, Pool};
 
 /// How long one call waits for changes.
-const WAIT: Duration = Duration::from_millis(1000);
+const POLL_WAIT: Duration = Duration::from_millis(1000);
 
 /// How much longer its answer may take.
-const MARGIN: Duration = Duration::from_millis(800);
+const ANSWER_MARGIN: Duration = Duration::from_millis(800);
 
 /// The pause between two calls, in which changes gather.
-const GATHERING: Duration = Duration::from_millis(150);
+const BATCH_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The pause after a call that failed.
-const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How often it is looked for new stores.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Follows every store that the configuration names while this daemon leads its group, for ever.
 pub async fn run(state: Rc<GatewayState>) {
     let followed: Rc<RefCell<HashSet<SocketAddr>>> = Rc::default();
     loop {
         state.peers.wait_until_leader().await;
-        for store in stores(&state) {
+        for store in configured_stores(&state) {
             if followed.borrow_mut().insert(store) {
                 let (state, followed) = (Rc::clone(&state), Rc::clone(&followed));
                 ntex::rt::spawn(async move {
@@ -43,12 +43,12 @@
                 });
             }
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
 /// The stores that the configuration names.
-pub fn stores(state: &GatewayState) -> Vec<SocketAddr> {
+pub fn configured_stores(state: &GatewayState) -> Vec<SocketAddr> {
     let configuration = state.configuration.load_full();
     configuration.map_or_else(Vec::new, |configuration| {
         let stores = configuration.kv_stores();
@@ -59,60 +59,64 @@
 /// Follows one store for as long as the configuration names it and this daemon leads its group.
 async fn follow(state: &GatewayState, store: SocketAddr) {
     let pool = Pool::new(store);
-    while state.peers.is_leader.get() && stores(state).contains(&store) {
-        let is_done = follow_once(state, &pool, store).await;
-        let pause = match is_done {
-            true => GATHERING,
-            false => RECEIVE_RETRY_PAUSE,
+    while state.peers.is_leader.get() && configured_stores(state).contains(&store) {
+        let is_success = poll_once(state, &pool, store).await;
+        let pause = match is_success {
+            true => BATCH_INTERVAL,
+            false => RETRY_INTERVAL,
         };
         tokio::time::sleep(pause).await;
     }
 }
 
 /// One call; false where it failed, and what is kept is not known any more.
-async fn follow_once(state: &GatewayState, pool: &Rc<Pool>, store: SocketAddr) -> bool {
-    let (is_informed, since) = state
+async fn poll_once(state: &GatewayState, pool: &Rc<Pool>, store: SocketAddr) -> bool {
+    let (was_known, since) = state
         .cached
-        .with(store, |kept| (kept.is_informed, kept.next));
-    let page = match is_informed {
-        true => events(state, pool, since).await,
-        false => list(state, pool).await,
+        .with_store(store, |kept| (kept.is_known, kept.next));
+    let page = match was_known {
+        true => fetch_events(state, pool, since).await,
+        false => fetch_list(state, pool).await,
     };
-    let goes_on = |page: &CachePage| state.cached.with(store, |kept| kept.goes_on_with(page));
-    let page = page.filter(|page| !is_informed || goes_on(page));
-    let news = match page {
-        Some(page) => CachedNews {
+    let is_continued = |page: &CachePage| {
+        state
+            .cached
+            .with_store(store, |kept| kept.is_continued_by(page))
+    };
+    let page = page.filter(|page| !was_known || is_continued(page));
+    let update = match page {
+        Some(page) => CacheUpdate {
             store,
             epoch: page.epoch,
             next: page.next,
             is_known: true,
-            is_from_start: !is_informed,
-            changes: page.events.iter().map(KeptChange::from).collect(),
+            is_from_start: !was_known,
+            changes: page.events.iter().map(CachedPartChange::from).collect(),
         },
-        None => CachedNews::unknown(store),
+        None => CacheUpdate::unknown(store),
     };
-    let is_known = news.is_known;
-    if is_known || is_informed {
-        state.cached.take(&news);
-        state.peers.announce_cached(news);
+    let is_known = update.is_known;
+    if is_known || was_known {
+        state.cached.apply(&update);
+        state.peers.announce_cached(update);
     }
     is_known
 }
 
 /// The changes after `since`; nothing where they can't be had.
-async fn events(state: &GatewayState, pool: &Rc<Pool>, since: u64) -> Option<CachePage> {
-    let call = state.platform.cache_events(since, WAIT);
-    let body = body_of(pool, &call).await?;
-    readable(state, pool, state.platform.read_cache_events(&body))
+async fn fetch_events(state: &GatewayState, pool: &Rc<Pool>, since: u64) -> Option<CachePage> {
+    let call = state.platform.cache_events(since, POLL_WAIT);
+    let body = fetch_body(pool, &call).await?;
+    parsed_page(state, pool, state.platform.read_cache_events(&body))
 }
 
 /// All that is kept; nothing where it can't be had.
-async fn list(state: &GatewayState, pool: &Rc<Pool>) -> Option<CachePage> {
-    let body = body_of(pool, &state.platform.cache_list()).await?;
-    readable(state, pool, state.platform.read_cache_list(&body))
+async fn fetch_list(state: &GatewayState, pool: &Rc<Pool>) -> Option<CachePage> {
+    let body = fetch_body(pool, &state.platform.cache_list()).await?;
+    parsed_page(state, pool, state.platform.read_cache_list(&body))
 }
 
-fn readable(
+fn parsed_page(
     state: &GatewayState,
     pool: &Pool,
     page: Result<CachePage, String>,
@@ -124,8 +128,8 @@
     page.inspect_err(reject).ok()
 }
 
-async fn body_of(pool: &Rc<Pool>, call: &Call) -> Option<Bytes> {
-    match upstream::call(pool, call, WAIT + MARGIN).await {
+async fn fetch_body(pool: &Rc<Pool>, call: &Call) -> Option<Bytes> {
+    match upstream::call(pool, call, POLL_WAIT + ANSWER_MARGIN).await {
         Ok((status, body)) if status.is_success() => Some(body),
         Ok((status, _)) => {
             log::debug!("{} answered {status} for what it keeps", pool.peer());
--- a/crates/gateway/src/cache/holders.rs
+++ b/crates/gateway/src/cache/holders.rs
@@ -17,7 +17,7 @@
 
 /// After this time without a use a prefix counts as gone, whatever its replica was given: what other groups
 /// of daemons send there is not known.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
+const PREFIX_RETENTION: Duration = Duration::from_secs(20);
 
 /// Prefixes from which on those that are forgotten are removed; some hundred subjects under a few versions of
 /// weights and tenants need a quarter of it.
@@ -25,7 +25,7 @@
 
 /// Replicas that are remembered of each prefix, those that used it last. A short prefix, which begins most prompts, comes to thousands
 /// of replicas within seconds; any of these can be fetched from, and each report of a prompt goes through all of them.
-const MOST_HOLDERS: usize = 64;
+const MAX_HOLDERS_PER_PREFIX: usize = 64;
 
 /// The digest of a cache scope and the parts of a prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -59,13 +59,13 @@
 #[derive(Debug, Clone, Copy)]
 struct Holding {
     /// The digest of the replica's life.
-    replica: u64,
+    incarnation_hash: u64,
     /// When the replica has probably read it.
-    ready_at: Instant,
+    prefilled_at: Instant,
     /// When it was last used.
-    used_at: Instant,
+    last_used_at: Instant,
     /// What the replica had been given by then, in tokens.
-    given_then: u64,
+    assigned_tokens: u64,
 }
 
 /// Which replicas keep which prefixes.
@@ -75,12 +75,12 @@
 }
 
 impl PromptHolders {
-    /// Takes in that `replica` was given a prompt with these prefixes at `now` and has read it at `ready_at`.
-    pub fn note(
+    /// Takes in that `replica` was given a prompt with these prefixes at `now` and has read it at `prefilled_at`.
+    pub fn record(
         &self,
         prefixes: impl Iterator<Item = PrefixKey>,
         replica: &Replica,
-        ready_at: Instant,
+        prefilled_at: Instant,
         now: Instant,
     ) {
         let mut by_prefix = self.by_prefix.borrow_mut();
@@ -92,22 +92,22 @@
             holdings.retain(|holding| holding.is_fresh(now));
             let known = holdings
                 .iter_mut()
-                .find(|holding| holding.replica == replica.incarnation_hash);
+                .find(|holding| holding.incarnation_hash == replica.incarnation_hash);
             match known {
                 Some(known) => {
-                    known.used_at = now;
-                    known.given_then = replica.assigned_prompt_tokens();
-                    known.ready_at = known.ready_at.min(ready_at);
+                    known.last_used_at = now;
+                    known.assigned_tokens = replica.assigned_prompt_tokens();
+                    known.prefilled_at = known.prefilled_at.min(prefilled_at);
                 }
                 None => {
-                    if holdings.len() == MOST_HOLDERS {
-                        forget_oldest(holdings);
+                    if holdings.len() == MAX_HOLDERS_PER_PREFIX {
+                        evict_oldest(holdings);
                     }
                     holdings.push(Holding {
-                        replica: replica.incarnation_hash,
-                        ready_at,
-                        used_at: now,
-                        given_then: replica.assigned_prompt_tokens(),
+                        incarnation_hash: replica.incarnation_hash,
+                        prefilled_at,
+                        last_used_at: now,
+                        assigned_tokens: replica.assigned_prompt_tokens(),
                     });
                 }
             }
@@ -115,61 +115,64 @@
     }
 
     /// Takes in that `replica` has not run a request with these prefixes.
-    pub fn forget(&self, prefixes: &[Prefix], replica: &Replica) {
+    pub fn remove(&self, prefixes: &[Prefix], replica: &Replica) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         for prefix in prefixes {
             if let Some(holdings) = by_prefix.get_mut(&prefix.key) {
-                holdings.retain(|holding| holding.replica != replica.incarnation_hash);
+                holdings.retain(|holding| holding.incarnation_hash != replica.incarnation_hash);
             }
         }
     }
 
     /// The digests of the lives of replicas that were given one of `prefixes`, in order.
-    pub fn of_any(&self, prefixes: &[Prefix]) -> Vec<u64> {
+    pub fn incarnations_with_any(&self, prefixes: &[Prefix]) -> Vec<u64> {
         let by_prefix = self.by_prefix.borrow();
         let holdings = prefixes
             .iter()
             .filter_map(|prefix| by_prefix.get(&prefix.key));
-        let mut lives: Vec<u64> = holdings.flatten().map(|holding| holding.replica).collect();
-        lives.sort_unstable();
-        lives.dedup();
-        lives
+        let mut hashes: Vec<u64> = holdings
+            .flatten()
+            .map(|holding| holding.incarnation_hash)
+            .collect();
+        hashes.sort_unstable();
+        hashes.dedup();
+        hashes
     }
 
-    /// Tokens of the longest of `prefixes` that `replica`, whose memory keeps `kept_tokens` beside what it
-    /// works on, still keeps; `is_read` asks for those that it has read already.
-    pub fn held_tokens(
+    /// Tokens of the longest of `prefixes` that `replica`, whose memory keeps `reusable_tokens` beside what it
+    /// works on, still keeps; `must_be_prefilled` asks for those that it has read already.
+    pub fn cached_tokens(
         &self,
         prefixes: &[Prefix],
         replica: &Replica,
-        kept_tokens: u64,
-        is_read: bool,
+        reusable_tokens: u64,
+        must_be_prefilled: bool,
         now: Instant,
     ) -> u64 {
         let by_prefix = self.by_prefix.borrow();
-        let is_held = |prefix: &&Prefix| {
+        let is_cached = |prefix: &&Prefix| {
             let holdings = by_prefix.get(&prefix.key).map_or(&[][..], Vec::as_slice);
-            let mut of_replica = holdings
+            let mut own_holdings = holdings
                 .iter()
-                .filter(|holding| holding.replica == replica.incarnation_hash);
-            of_replica.any(|holding| {
-                let given_since = replica
+                .filter(|holding| holding.incarnation_hash == replica.incarnation_hash);
+            own_holdings.any(|holding| {
+                let assigned_since = replica
                     .assigned_prompt_tokens()
-                    .saturating_sub(holding.given_then);
+                    .saturating_sub(holding.assigned_tokens);
                 holding.is_fresh(now)
-                    && given_since <= kept_tokens
-                    && (!is_read || holding.ready_at <= now)
+                    && assigned_since <= reusable_tokens
+                    && (!must_be_prefilled || holding.prefilled_at <= now)
             })
         };
-        let longest = prefixes.iter().rev().find(is_held);
+        let longest = prefixes.iter().rev().find(is_cached);
         longest.map_or(0, |prefix| prefix.tokens)
     }
 }
 
 /// Removes the holding that was not used for the longest time.
-fn forget_oldest(holdings: &mut Vec<Holding>) {
-    let places = holdings.iter().enumerate();
-    let oldest = places.min_by_key(|(_, holding)| holding.used_at);
+fn evict_oldest(holdings: &mut Vec<Holding>) {
+    let indexed = holdings.iter().enumerate();
+    let oldest = indexed.min_by_key(|(_, holding)| holding.last_used_at);
     if let Some((oldest, _)) = oldest {
         holdings.swap_remove(oldest);
     }
@@ -177,6 +180,6 @@
 
 impl Holding {
     fn is_fresh(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.used_at) < FORGOTTEN_AFTER
+        now.saturating_duration_since(self.last_used_at) < PREFIX_RETENTION
     }
 }
--- a/crates/gateway/src/cache/kept.rs
+++ b/crates/gateway/src/cache/kept.rs
@@ -12,32 +12,32 @@
 use crate::protocol::{CacheEvent, CachePage, PromptPart};
 
 /// For how long a copy that was asked for is believed to be on its way.
-const COPY_TIME: Duration = Duration::from_millis(1500);
+const COPY_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Copies on their way that are remembered; older ones are looked through beyond that.
-const MAX_COPIES: usize = 1024;
+const MAX_PENDING_COPIES: usize = 1024;
 
 /// A part counts as kept with so many tokens less than it has, since memory goes by blocks.
 const BLOCK_TOKENS: u32 = 32;
 
 /// A scope and a part, hashed.
-fn key(scope: &str, part: &str) -> u64 {
+fn part_digest(scope: &str, part: &str) -> u64 {
     xxh3_64_with_seed(part.as_bytes(), xxh3_64(scope.as_bytes()))
 }
 
 /// A change of what a peer keeps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeptChange {
+pub struct CachedPartChange {
     /// The digest of the scope and the part.
     pub part: u64,
     /// Tokens of it that are kept now; 0 where it is gone.
     pub tokens: u32,
 }
 
-impl From<&CacheEvent> for KeptChange {
+impl From<&CacheEvent> for CachedPartChange {
     fn from(event: &CacheEvent) -> Self {
         Self {
-            part: key(&event.scope, &event.part),
+            part: part_digest(&event.scope, &event.part),
             tokens: event.tokens,
         }
     }
@@ -45,7 +45,7 @@
 
 /// What the daemon that follows a store learnt of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CachedNews {
+pub struct CacheUpdate {
     /// The store's address.
     pub store: SocketAddr,
     /// The life of the store.
@@ -57,10 +57,10 @@
     /// Whether all that is kept is told from here on, rather than changes of what was told before.
     pub is_from_start: bool,
     /// The changes.
-    pub changes: Vec<KeptChange>,
+    pub changes: Vec<CachedPartChange>,
 }
 
-impl CachedNews {
+impl CacheUpdate {
     /// `store` does not answer, or its events have a gap.
     pub fn unknown(store: SocketAddr) -> Self {
         Self {
@@ -76,61 +76,64 @@
 
 /// The parts that one peer keeps.
 #[derive(Debug, Default)]
-pub struct KeptParts {
+pub struct StoreContents {
     /// Ordered, so that they can be told page by page.
-    tokens: BTreeMap<u64, u32>,
-    copies: HashMap<u64, Instant>,
+    tokens_by_part: BTreeMap<u64, u32>,
+    pending_copies: HashMap<u64, Instant>,
     /// Whether nothing was missed since the last list.
-    pub is_informed: bool,
+    pub is_known: bool,
     /// The life of the peer.
     pub epoch: u64,
     /// Where its events go on.
     pub next: u64,
 }
 
-impl KeptParts {
+impl StoreContents {
     /// Begins anew in the life `epoch` of the peer, with nothing known to be kept there.
-    pub fn begin_list(&mut self, epoch: u64) {
-        self.tokens.clear();
+    pub fn reset(&mut self, epoch: u64) {
+        self.tokens_by_part.clear();
         self.epoch = epoch;
-        self.is_informed = true;
+        self.is_known = true;
     }
 
     /// Takes in news. Those of a life that is not followed here are of no use: what came before is not known.
-    pub fn take(&mut self, news: &CachedNews) {
-        if !news.is_known {
-            return self.forget();
+    pub fn apply(&mut self, update: &CacheUpdate) {
+        if !update.is_known {
+            return self.clear();
         }
-        if news.is_from_start {
-            self.begin_list(news.epoch);
-        } else if news.epoch != self.epoch {
-            return self.forget();
+        if update.is_from_start {
+            self.reset(update.epoch);
+        } else if update.epoch != self.epoch {
+            return self.clear();
         }
-        self.take_changes(&news.changes);
-        self.next = news.next;
+        self.apply_changes(&update.changes);
+        self.next = update.next;
     }
 
     /// Takes in changes of the life that is followed.
-    pub fn take_changes(&mut self, changes: &[KeptChange]) {
+    pub fn apply_changes(&mut self, changes: &[CachedPartChange]) {
         for change in changes {
             match change.tokens {
-                0 => drop(self.tokens.remove(&change.part)),
-                tokens => drop(self.tokens.insert(change.part, tokens)),
+                0 => drop(self.tokens_by_part.remove(&change.part)),
+                tokens => drop(self.tokens_by_part.insert(change.part, tokens)),
             }
         }
     }
 
     /// Whether `page` goes on from what is known; else a list is needed.
-    pub fn goes_on_with(&self, page: &CachePage) -> bool {
+    pub fn is_continued_by(&self, page: &CachePage) -> bool {
         page.epoch == self.epoch && !page.has_gap
     }
 
-    /// Up to `most` of the parts kept, after the digest `after`, in the order of their digests.
-    pub fn page(&self, after: Option<u64>, most: usize) -> Vec<KeptChange> {
-        let from = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let parts = self.tokens.range((from, Bound::Unbounded)).take(most);
+    /// Up to `max_count` of the parts kept, after the digest `after`, in the order of their digests.
+    pub fn page(&self, after: Option<u64>, max_count: usize) -> Vec<CachedPartChange> {
+        let start = after.map_or(Bound::Unbounded, Bound::Excluded);
+        let parts = self
+            .tokens_by_part
+            .range((start, Bound::Unbounded))
+            .take(max_count);
         parts
-            .map(|(part, tokens)| KeptChange {
+            .map(|(part, tokens)| CachedPartChange {
                 part: *part,
                 tokens: *tokens,
             })
@@ -138,29 +141,33 @@
     }
 
     /// Nothing is known any more.
-    pub fn forget(&mut self) {
-        self.tokens.clear();
-        self.copies.clear();
-        self.is_informed = false;
+    pub fn clear(&mut self) {
+        self.tokens_by_part.clear();
+        self.pending_copies.clear();
+        self.is_known = false;
     }
 
     /// Whether every one of `parts` is kept under `scope`, or is on its way there.
     pub fn has_all(&self, scope: &str, parts: &[PromptPart], now: Instant) -> bool {
         parts.iter().all(|part| {
-            let key = key(scope, &part.id);
-            let kept = self.tokens.get(&key).copied().unwrap_or(0);
-            let is_coming = self.copies.get(&key).is_some_and(|until| now < *until);
-            kept + BLOCK_TOKENS >= part.tokens || is_coming
+            let digest = part_digest(scope, &part.id);
+            let kept = self.tokens_by_part.get(&digest).copied().unwrap_or(0);
+            let is_pending = self
+                .pending_copies
+                .get(&digest)
+                .is_some_and(|until| now < *until);
+            kept + BLOCK_TOKENS >= part.tokens || is_pending
         })
     }
 
     /// Takes in that `parts` are being copied there.
-    pub fn note_copy(&mut self, scope: &str, parts: &[PromptPart], now: Instant) {
-        if self.copies.len() > MAX_COPIES {
-            self.copies.retain(|_, until| now < *until);
+    pub fn record_copy(&mut self, scope: &str, parts: &[PromptPart], now: Instant) {
+        if self.pending_copies.len() > MAX_PENDING_COPIES {
+            self.pending_copies.retain(|_, until| now < *until);
         }
         for part in parts {
-            self.copies.insert(key(scope, &part.id), now + COPY_TIME);
+            self.pending_copies
+                .insert(part_digest(scope, &part.id), now + COPY_TIMEOUT);
         }
     }
 }
@@ -168,25 +175,29 @@
 /// The parts that each known store keeps.
 #[derive(Debug, Default)]
 pub struct CachedParts {
-    by_store: RefCell<HashMap<SocketAddr, KeptParts>>,
+    by_store: RefCell<HashMap<SocketAddr, StoreContents>>,
 }
 
 impl CachedParts {
     /// Does something with what `store` keeps.
-    pub fn with<R>(&self, store: SocketAddr, action: impl FnOnce(&mut KeptParts) -> R) -> R {
+    pub fn with_store<R>(
+        &self,
+        store: SocketAddr,
+        action: impl FnOnce(&mut StoreContents) -> R,
+    ) -> R {
         let mut by_store = self.by_store.borrow_mut();
         action(by_store.entry(store).or_default())
     }
 
     /// Takes in news of a store.
-    pub fn take(&self, news: &CachedNews) {
-        self.with(news.store, |kept| kept.take(news));
+    pub fn apply(&self, update: &CacheUpdate) {
+        self.with_store(update.store, |kept| kept.apply(update));
     }
 
     /// Whether it is known what `store` keeps.
-    pub fn is_informed(&self, store: SocketAddr) -> bool {
+    pub fn is_known(&self, store: SocketAddr) -> bool {
         let by_store = self.by_store.borrow();
-        by_store.get(&store).is_some_and(|kept| kept.is_informed)
+        by_store.get(&store).is_some_and(|kept| kept.is_known)
     }
 
     /// Whether `store` is known to keep all `parts` under `scope`.
@@ -198,25 +209,25 @@
         now: Instant,
     ) -> bool {
         let by_store = self.by_store.borrow();
-        let kept = by_store.get(&store).filter(|kept| kept.is_informed);
+        let kept = by_store.get(&store).filter(|kept| kept.is_known);
         kept.is_some_and(|kept| kept.has_all(scope, parts, now))
     }
 
     /// Whether a request should copy `parts` to `store`: unless they are known to be there, or to be on
     /// their way. Takes in that it does.
-    pub fn wants_copy(
+    pub fn try_start_copy(
         &self,
         store: SocketAddr,
         scope: &str,
         parts: &[PromptPart],
         now: Instant,
     ) -> bool {
-        self.with(store, |kept| {
-            let wants = !kept.is_informed || !kept.has_all(scope, parts, now);
-            if wants {
-                kept.note_copy(scope, parts, now);
+        self.with_store(store, |kept| {
+            let is_needed = !kept.is_known || !kept.has_all(scope, parts, now);
+            if is_needed {
+                kept.record_copy(scope, parts, now);
             }
-            wants
+            is_needed
         })
     }
 }
--- a/crates/gateway/src/cache/mod.rs
+++ b/crates/gateway/src/cache/mod.rs
@@ -11,6 +11,6 @@
 mod holders;
 mod kept;
 
-pub use follow::{run, stores};
+pub use follow::{configured_stores, run};
 pub use holders::{Prefix, PrefixKey, PromptHolders, prefixes};
-pub use kept::{CachedNews, CachedParts, KeptChange, KeptParts};
+pub use kept::{CacheUpdate, CachedPartChange, CachedParts, StoreContents};
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -268,7 +268,7 @@
             replica.record_prompt(prompt.tokens, now);
             let ready_at = now + replica.remaining_prefill(now);
             let prefixes = prompt.prefixes.iter().map(|key| PrefixKey(*key));
-            state.holders.note(prefixes, &replica, ready_at, now);
+            state.holders.record(prefixes, &replica, ready_at, now);
         }
     }
 }
--- a/crates/gateway/src/peers/cached.rs
+++ b/crates/gateway/src/peers/cached.rs
@@ -13,7 +13,7 @@
 use super::message::{CachedQuery, CachedReply, Message, Report, WireCached};
 use super::send::send;
 use super::spread::spread;
-use crate::cache::{CachedNews, KeptChange, stores};
+use crate::cache::{CacheUpdate, CachedPartChange, configured_stores};
 use crate::state::GatewayState;
 
 /// The number of changes in a datagram, which keeps it below 1,200 bytes: a change takes up to 17 of them.
@@ -49,7 +49,7 @@
 }
 
 /// Distributes changes among datagrams, in order.
-pub fn pack(gathered: Vec<CachedNews>) -> Vec<Vec<WireCached>> {
+pub fn pack(gathered: Vec<CacheUpdate>) -> Vec<Vec<WireCached>> {
     let mut datagrams: Vec<Vec<WireCached>> = Vec::new();
     let mut remaining = 0;
     for news in gathered {
@@ -78,18 +78,18 @@
 /// Applies changes from the leader.
 pub(super) fn apply(state: &GatewayState, updates: &[WireCached]) {
     for news in updates.iter().filter_map(WireCached::to_news) {
-        state.cached.take(&news);
+        state.cached.apply(&news);
     }
 }
 
 /// The requested page, or `None` if the store's address is invalid.
 pub(super) fn answer(state: &GatewayState, query: &CachedQuery) -> Option<CachedReply> {
     let store: SocketAddr = query.store.parse().ok()?;
-    let page = state.cached.with(store, |kept| CachedReply {
+    let page = state.cached.with_store(store, |kept| CachedReply {
         nonce: query.nonce,
         epoch: kept.epoch,
         next: kept.next,
-        is_known: kept.is_informed,
+        is_known: kept.is_known,
         changes: wire_changes(&kept.page(query.after, MAX_CHANGES)),
     });
     Some(page)
@@ -104,8 +104,8 @@
     let mut pause = INITIAL_PAUSE;
     loop {
         tokio::time::sleep(pause).await;
-        let is_informed = |store: &SocketAddr| state.cached.is_informed(*store);
-        let unknown: Vec<SocketAddr> = stores(&state)
+        let is_informed = |store: &SocketAddr| state.cached.is_known(*store);
+        let unknown: Vec<SocketAddr> = configured_stores(&state)
             .into_iter()
             .filter(|store| !is_informed(store))
             .collect();
@@ -150,8 +150,8 @@
         if !page.is_known {
             return;
         }
-        let changes: Vec<KeptChange> = page.changes.iter().map(kept_change).collect();
-        let news = CachedNews {
+        let changes: Vec<CachedPartChange> = page.changes.iter().map(kept_change).collect();
+        let news = CacheUpdate {
             store,
             epoch: page.epoch,
             next: page.next,
@@ -159,7 +159,7 @@
             is_from_start: after.is_none(),
             changes,
         };
-        state.cached.take(&news);
+        state.cached.apply(&news);
         match news.changes.last() {
             Some(last) if news.changes.len() == MAX_CHANGES => after = Some(last.part),
             _ => return,
@@ -179,9 +179,9 @@
     }
 }
 
-impl From<&CachedNews> for WireCached {
+impl From<&CacheUpdate> for WireCached {
     /// The fields without the changes.
-    fn from(news: &CachedNews) -> Self {
+    fn from(news: &CacheUpdate) -> Self {
         Self {
             store: news.store.to_string(),
             epoch: news.epoch,
@@ -195,8 +195,8 @@
 
 impl WireCached {
     /// The changes, or `None` if the address is invalid.
-    pub fn to_news(&self) -> Option<CachedNews> {
-        Some(CachedNews {
+    pub fn to_news(&self) -> Option<CacheUpdate> {
+        Some(CacheUpdate {
             store: self.store.parse().ok()?,
             epoch: self.epoch,
             next: self.next,
@@ -207,15 +207,15 @@
     }
 }
 
-fn wire_changes(changes: &[KeptChange]) -> Vec<(u64, u32)> {
+fn wire_changes(changes: &[CachedPartChange]) -> Vec<(u64, u32)> {
     changes
         .iter()
         .map(|change| (change.part, change.tokens))
         .collect()
 }
 
-fn kept_change(change: &(u64, u32)) -> KeptChange {
-    KeptChange {
+fn kept_change(change: &(u64, u32)) -> CachedPartChange {
+    CachedPartChange {
         part: change.0,
         tokens: change.1,
     }
--- a/crates/gateway/src/peers/known.rs
+++ b/crates/gateway/src/peers/known.rs
@@ -17,7 +17,7 @@
 use super::prompt_relay::PromptRelay;
 use super::relays::Relays;
 use super::view::View;
-use crate::cache::CachedNews;
+use crate::cache::CacheUpdate;
 
 /// The minimum size of a prompt, in tokens to prefill, that is reported to others.
 pub(super) const MIN_REPORTED_TOKENS: u64 = 1200;
@@ -68,7 +68,7 @@
     has_all_daemons: Cell<bool>,
     rotation: Cell<u32>,
     /// Changes in the contents of prompt-cache stores that have yet to be sent to the group.
-    pub(super) cached_news: RefCell<Vec<CachedNews>>,
+    pub(super) cached_news: RefCell<Vec<CacheUpdate>>,
     /// Wakes the task that sends them.
     pub(super) cached_news_added: Notify,
     /// Whether this daemon, as the reader, watches the replicas in the store.
@@ -309,7 +309,7 @@
     }
 
     /// Sends to the group what this daemon has learned of a prompt-cache store.
-    pub fn announce_cached(&self, news: CachedNews) {
+    pub fn announce_cached(&self, news: CacheUpdate) {
         if news.is_known && !news.is_from_start && news.changes.is_empty() {
             return;
         }
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -433,7 +433,7 @@
     pub zone: String,
 }
 
-/// Changes in the contents of one prompt-cache store, see [`crate::cache::CachedNews`].
+/// Changes in the contents of one prompt-cache store, see [`crate::cache::CacheUpdate`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireCached {
     /// The store's address.
--- a/crates/gateway/src/pipeline/attempts.rs
+++ b/crates/gateway/src/pipeline/attempts.rs
@@ -294,7 +294,7 @@
             return self.handle_not_run(choice, peer, detail);
         }
         self.log_attempt(choice, "not_run", detail);
-        self.state.holders.forget(&choice.prefixes, &choice.replica);
+        self.state.holders.remove(&choice.prefixes, &choice.replica);
         self.count_not_run(peer, detail)
     }
 
@@ -408,7 +408,7 @@
     ) -> Result<(), Refusal> {
         self.log_attempt(choice, "not_run", detail);
         choice.replica.health.record_overload(Instant::now());
-        self.state.holders.forget(&choice.prefixes, &choice.replica);
+        self.state.holders.remove(&choice.prefixes, &choice.replica);
         self.tried.push(choice.replica.incarnation.clone());
         // Its next request goes elsewhere at once, so only the retry budget bounds the search for a replica that has
         // room.
--- a/crates/gateway/src/pipeline/choose_replica.rs
+++ b/crates/gateway/src/pipeline/choose_replica.rs
@@ -132,7 +132,7 @@
     };
     state
         .cached
-        .wants_copy(store, scope, shared, Instant::now())
+        .try_start_copy(store, scope, shared, Instant::now())
 }
 
 /// Admits the request to a few replicas out of many: those that can win the placement. Returns nothing if too few of
--- a/crates/gateway/src/pipeline/dispatch.rs
+++ b/crates/gateway/src/pipeline/dispatch.rs
@@ -123,7 +123,9 @@
     replica.record_prompt(choice.tokens_to_prefill, now);
     let ready_at = now + replica.remaining_prefill(now);
     let prefixes = choice.prefixes.iter().map(|prefix| prefix.key);
-    state.holders.note(prefixes.clone(), replica, ready_at, now);
+    state
+        .holders
+        .record(prefixes.clone(), replica, ready_at, now);
     state.peers.report_prompt(WirePrompt {
         replica: replica.id().to_owned(),
         born: replica.incarnation.born,
--- a/crates/gateway/src/pipeline/prompt_sources.rs
+++ b/crates/gateway/src/pipeline/prompt_sources.rs
@@ -140,7 +140,8 @@
             let tokens = self.cached_tokens(&prefixes, replica, true);
             (tokens > 0).then(|| (Rc::clone(replica), tokens))
         };
-        let holders = listed.with_incarnations(&self.state.holders.of_any(&prefixes));
+        let holders =
+            listed.with_incarnations(&self.state.holders.incarnations_with_any(&prefixes));
         let replicas = holders.iter().filter(is_usable).filter_map(held).collect();
         let is_in_store = self.store.as_ref().is_some_and(|store| {
             self.state
@@ -159,7 +160,7 @@
         let capacity = engine.map_or(0, |engine| engine.capacity_tokens);
         let kept_tokens = (capacity as f64 * REUSABLE_CACHE_SHARE) as u64;
         let holders = &self.state.holders;
-        holders.held_tokens(prefixes, replica, kept_tokens, is_prefilled, self.now)
+        holders.cached_tokens(prefixes, replica, kept_tokens, is_prefilled, self.now)
     }
 
     /// The source with most of the prompt: the nearest and least busy of the replicas that have more than `candidate`,
--- a/crates/gateway/src/rollout/load.rs
+++ b/crates/gateway/src/rollout/load.rs
@@ -156,7 +156,7 @@
                 return Ok(());
             }
             Ok(OrderAnswer::Conflict) => {
-                if !resolve_conflict(state, replica, wanted).await {
+                if !handle_conflict(state, replica, wanted).await {
                     return Err(LoadFailure::ReplicaFailed);
                 }
             }
@@ -180,7 +180,7 @@
 }
 
 /// Handles a conflict: the replica is busy, or another gateway has given it an order since.
-async fn resolve_conflict(
+async fn handle_conflict(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
     wanted: &ModelVersion,
