--- a/crates/gateway/src/cache/follow.rs
+++ b/crates/gateway/src/cache/follow.rs
@@ -1,4 +1,4 @@
-//! Follows what a store of cached prompt work keeps.
+//! Follows the contents of the prompt-cache stores.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -14,22 +14,22 @@
 use crate::store::Rejected;
 use crate::upstream::{self, Pool};
 
-/// How long one call waits for changes.
+/// How long a store may hold a call open until there are changes.
 const POLL_WAIT: Duration = Duration::from_millis(1000);
 
-/// How much longer its answer may take.
+/// Additional time for the answer to arrive.
 const ANSWER_MARGIN: Duration = Duration::from_millis(800);
 
-/// The pause between two calls, in which changes gather.
+/// Pause between two calls, so that changes arrive in batches.
 const BATCH_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The pause after a call that failed.
+/// Pause after a failed call.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often it is looked for new stores.
+/// Interval between two checks for newly configured stores.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Follows every store that the configuration names while this daemon leads its group, for ever.
+/// Follows every configured store while this gateway leads its group, in an endless loop.
 pub async fn run(state: Rc<GatewayState>) {
     let followed: Rc<RefCell<HashSet<SocketAddr>>> = Rc::default();
     loop {
@@ -47,7 +47,7 @@
     }
 }
 
-/// The stores that the configuration names.
+/// Returns the addresses of the configured stores.
 pub fn configured_stores(state: &GatewayState) -> Vec<SocketAddr> {
     let configuration = state.configuration.load_full();
     configuration.map_or_else(Vec::new, |configuration| {
@@ -56,7 +56,7 @@
     })
 }
 
-/// Follows one store for as long as the configuration names it and this daemon leads its group.
+/// Follows one store while it is configured and this gateway leads its group.
 async fn follow(state: &GatewayState, store: SocketAddr) {
     let pool = Pool::new(store);
     while state.peers.is_leader.get() && configured_stores(state).contains(&store) {
@@ -69,7 +69,8 @@
     }
 }
 
-/// One call; false where it failed, and what is kept is not known any more.
+/// Makes one call. Returns false if the call failed or its page did not follow on the known contents; the contents are
+/// then unknown.
 async fn poll_once(state: &GatewayState, pool: &Rc<Pool>, store: SocketAddr) -> bool {
     let (was_known, since) = state
         .cached
@@ -103,14 +104,14 @@
     is_known
 }
 
-/// The changes after `since`; nothing where they can't be had.
+/// Fetches the changes after `since`; `None` if that fails.
 async fn fetch_events(state: &GatewayState, pool: &Rc<Pool>, since: u64) -> Option<CachePage> {
     let call = state.platform.cache_events(since, POLL_WAIT);
     let body = fetch_body(pool, &call).await?;
     parsed_page(state, pool, state.platform.read_cache_events(&body))
 }
 
-/// All that is kept; nothing where it can't be had.
+/// Fetches the whole contents; `None` if that fails.
 async fn fetch_list(state: &GatewayState, pool: &Rc<Pool>) -> Option<CachePage> {
     let body = fetch_body(pool, &state.platform.cache_list()).await?;
     parsed_page(state, pool, state.platform.read_cache_list(&body))
@@ -132,11 +133,17 @@
     match upstream::call(pool, call, POLL_WAIT + ANSWER_MARGIN).await {
         Ok((status, body)) if status.is_success() => Some(body),
         Ok((status, _)) => {
-            log::debug!("{} answered {status} for what it keeps", pool.peer());
+            log::debug!(
+                "call for the contents of store {} failed with status {status}",
+                pool.peer()
+            );
             None
         }
         Err(error) => {
-            log::debug!("{} did not say what it keeps: {error}", pool.peer());
+            log::debug!(
+                "call for the contents of store {} failed: {error}",
+                pool.peer()
+            );
             None
         }
     }
--- a/crates/gateway/src/cache/holders.rs
+++ b/crates/gateway/src/cache/holders.rs
@@ -1,9 +1,9 @@
-//! Which replicas keep the beginnings of which prompts, as far as the requests of this daemon
-//! and those that other daemons report show.
+//! Estimates which replicas have which prompt prefixes cached, from the requests of this gateway and those that other
+//! gateways report.
 //!
-//! A prompt's shared parts form prefixes, each longer by one part. A replica that was given a prompt keeps all
-//! of its prefixes until it was given so much else that the memory it has gives way. That is a belief: a
-//! replica that no longer keeps a prefix reads it again.
+//! The shared parts of a prompt form prefixes, each one part longer than the one before. A replica that was given a
+//! prompt is assumed to keep all of its prefixes until the prompts assigned to it afterwards exceed its cache. If the
+//! estimate is wrong, the replica prefills the prefix again.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,32 +15,33 @@
 use crate::protocol::PromptPart;
 use crate::replicas::Replica;
 
-/// After this time without a use a prefix counts as gone, whatever its replica was given: what other groups
-/// of daemons send there is not known.
+/// Time after its last use at which a prefix counts as evicted, whatever its replica was given. The requests that other
+/// groups of gateways send to the replica are not known.
 const PREFIX_RETENTION: Duration = Duration::from_secs(20);
 
-/// Prefixes from which on those that are forgotten are removed; some hundred subjects under a few versions of
-/// weights and tenants need a quarter of it.
+/// Number of prefixes above which expired ones are removed. A few hundred topics under a few versions of weights and
+/// tenants need a quarter of it.
 const MAX_PREFIXES: usize = 8192;
 
-/// Replicas that are remembered of each prefix, those that used it last. A short prefix, which begins most prompts, comes to thousands
-/// of replicas within seconds; any of these can be fetched from, and each report of a prompt goes through all of them.
+/// Maximum number of replicas kept for each prefix: those that used it last. A short prefix that starts most prompts
+/// reaches thousands of replicas within seconds. The prefix can be fetched from any of the replicas kept, and each
+/// reported prompt searches all of them.
 const MAX_HOLDERS_PER_PREFIX: usize = 64;
 
-/// The digest of a cache scope and the parts of a prefix.
+/// Digest of a cache scope and the parts of a prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PrefixKey(pub u64);
 
-/// A prefix of a prompt.
+/// Prefix of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Prefix {
-    /// Names it.
+    /// Key that identifies the prefix.
     pub key: PrefixKey,
-    /// Its tokens.
+    /// Number of its tokens.
     pub tokens: u64,
 }
 
-/// The prefixes that `parts` form under `scope`, the shortest first.
+/// Returns the prefixes that `parts` form under `scope`, shortest first.
 pub fn prefixes(scope: &str, parts: &[PromptPart]) -> Vec<Prefix> {
     let mut digest = xxh3_64(scope.as_bytes());
     let mut tokens = 0;
@@ -55,27 +56,28 @@
     parts.iter().map(extend).collect()
 }
 
-/// That a replica was given a prefix.
+/// Records that a replica was given a prefix.
 #[derive(Debug, Clone, Copy)]
 struct Holding {
-    /// The digest of the replica's life.
+    /// Digest of the replica's incarnation.
     incarnation_hash: u64,
-    /// When the replica has probably read it.
+    /// When the replica has probably prefilled the prefix.
     prefilled_at: Instant,
-    /// When it was last used.
+    /// When the prefix was last used.
     last_used_at: Instant,
-    /// What the replica had been given by then, in tokens.
+    /// Number of prompt tokens that had been assigned to the replica by the last use.
     assigned_tokens: u64,
 }
 
-/// Which replicas keep which prefixes.
+/// Maps prompt prefixes to the replicas that probably have them cached.
 #[derive(Debug, Default)]
 pub struct PromptHolders {
     by_prefix: RefCell<HashMap<PrefixKey, Vec<Holding>>>,
 }
 
 impl PromptHolders {
-    /// Takes in that `replica` was given a prompt with these prefixes at `now` and has read it at `prefilled_at`.
+    /// Records that `replica` was given a prompt with these prefixes at `now` and will have prefilled it at
+    /// `prefilled_at`.
     pub fn record(
         &self,
         prefixes: impl Iterator<Item = PrefixKey>,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Takes in that `replica` has not run a request with these prefixes.
+    /// Removes `replica` from these prefixes because it has not run the request.
     pub fn remove(&self, prefixes: &[Prefix], replica: &Replica) {
         let mut by_prefix = self.by_prefix.borrow_mut();
         for prefix in prefixes {
@@ -124,7 +126,7 @@
         }
     }
 
-    /// The digests of the lives of replicas that were given one of `prefixes`, in order.
+    /// Returns the digests of the incarnations of replicas that were given any of `prefixes`, sorted.
     pub fn incarnations_with_any(&self, prefixes: &[Prefix]) -> Vec<u64> {
         let by_prefix = self.by_prefix.borrow();
         let holdings = prefixes
@@ -139,8 +141,9 @@
         hashes
     }
 
-    /// Tokens of the longest of `prefixes` that `replica`, whose memory keeps `reusable_tokens` beside what it
-    /// works on, still keeps; `must_be_prefilled` asks for those that it has read already.
+    /// Returns the number of tokens of the longest of `prefixes` that `replica` still has cached, given that its cache
+    /// keeps `reusable_tokens` beside the running requests. With `must_be_prefilled`, only prefixes count that the
+    /// replica has already prefilled.
     pub fn cached_tokens(
         &self,
         prefixes: &[Prefix],
@@ -169,7 +172,7 @@
     }
 }
 
-/// Removes the holding that was not used for the longest time.
+/// Removes the least recently used holding.
 fn evict_oldest(holdings: &mut Vec<Holding>) {
     let indexed = holdings.iter().enumerate();
     let oldest = indexed.min_by_key(|(_, holding)| holding.last_used_at);
--- a/crates/gateway/src/cache/kept.rs
+++ b/crates/gateway/src/cache/kept.rs
@@ -1,4 +1,4 @@
-//! The parts that one peer keeps, as its events tell.
+//! Contents of prompt-cache stores, as reported by their events.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -11,26 +11,27 @@
 
 use crate::protocol::{CacheEvent, CachePage, PromptPart};
 
-/// For how long a copy that was asked for is believed to be on its way.
+/// How long a requested copy counts as on its way.
 const COPY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Copies on their way that are remembered; older ones are looked through beyond that.
+/// Number of pending copies above which expired ones are removed.
 const MAX_PENDING_COPIES: usize = 1024;
 
-/// A part counts as kept with so many tokens less than it has, since memory goes by blocks.
+/// Number of tokens of a part that may be missing while it still counts as complete, since memory is allocated in
+/// blocks.
 const BLOCK_TOKENS: u32 = 32;
 
-/// A scope and a part, hashed.
+/// Digest of a scope and a part.
 fn part_digest(scope: &str, part: &str) -> u64 {
     xxh3_64_with_seed(part.as_bytes(), xxh3_64(scope.as_bytes()))
 }
 
-/// A change of what a peer keeps.
+/// Change in the contents of a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CachedPartChange {
-    /// The digest of the scope and the part.
+    /// Digest of the scope and the part.
     pub part: u64,
-    /// Tokens of it that are kept now; 0 where it is gone.
+    /// Number of its tokens that are stored now; 0 if the part has been removed.
     pub tokens: u32,
 }
 
@@ -43,25 +44,25 @@
     }
 }
 
-/// What the daemon that follows a store learnt of it.
+/// Update on one store from the gateway that follows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheUpdate {
-    /// The store's address.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// The life of the store.
+    /// Incarnation of the store.
     pub epoch: u64,
-    /// Where its events go on.
+    /// Position at which its next events start.
     pub next: u64,
-    /// Whether the store answers; else nothing is known of it any more.
+    /// Whether the store answers; otherwise its contents are unknown.
     pub is_known: bool,
-    /// Whether all that is kept is told from here on, rather than changes of what was told before.
+    /// Whether the changes list the whole contents from the start, instead of following on earlier updates.
     pub is_from_start: bool,
-    /// The changes.
+    /// Changes in the contents.
     pub changes: Vec<CachedPartChange>,
 }
 
 impl CacheUpdate {
-    /// `store` does not answer, or its events have a gap.
+    /// Creates the update for a store that does not answer or whose events have a gap.
     pub fn unknown(store: SocketAddr) -> Self {
         Self {
             store,
@@ -74,29 +75,30 @@
     }
 }
 
-/// The parts that one peer keeps.
+/// Contents of one store.
 #[derive(Debug, Default)]
 pub struct StoreContents {
-    /// Ordered, so that they can be told page by page.
+    /// Ordered by digest, so that the contents can be sent page by page.
     tokens_by_part: BTreeMap<u64, u32>,
     pending_copies: HashMap<u64, Instant>,
-    /// Whether nothing was missed since the last list.
+    /// Whether the contents are known: no event was missed since the last full list.
     pub is_known: bool,
-    /// The life of the peer.
+    /// Incarnation of the store.
     pub epoch: u64,
-    /// Where its events go on.
+    /// Position at which its next events start.
     pub next: u64,
 }
 
 impl StoreContents {
-    /// Begins anew in the life `epoch` of the peer, with nothing known to be kept there.
+    /// Starts again with empty contents in the incarnation `epoch` of the store.
     pub fn reset(&mut self, epoch: u64) {
         self.tokens_by_part.clear();
         self.epoch = epoch;
         self.is_known = true;
     }
 
-    /// Takes in news. Those of a life that is not followed here are of no use: what came before is not known.
+    /// Applies an update. An update of an incarnation that is not followed makes the contents unknown, since earlier
+    /// changes were missed.
     pub fn apply(&mut self, update: &CacheUpdate) {
         if !update.is_known {
             return self.clear();
@@ -110,7 +112,7 @@
         self.next = update.next;
     }
 
-    /// Takes in changes of the life that is followed.
+    /// Applies changes of the followed incarnation.
     pub fn apply_changes(&mut self, changes: &[CachedPartChange]) {
         for change in changes {
             match change.tokens {
@@ -120,12 +122,12 @@
         }
     }
 
-    /// Whether `page` goes on from what is known; else a list is needed.
+    /// Whether `page` follows on the known contents; otherwise a full list is needed.
     pub fn is_continued_by(&self, page: &CachePage) -> bool {
         page.epoch == self.epoch && !page.has_gap
     }
 
-    /// Up to `max_count` of the parts kept, after the digest `after`, in the order of their digests.
+    /// Returns up to `max_count` of the parts after the digest `after`, ordered by digest.
     pub fn page(&self, after: Option<u64>, max_count: usize) -> Vec<CachedPartChange> {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         let parts = self
@@ -140,14 +142,14 @@
             .collect()
     }
 
-    /// Nothing is known any more.
+    /// Makes the contents unknown.
     pub fn clear(&mut self) {
         self.tokens_by_part.clear();
         self.pending_copies.clear();
         self.is_known = false;
     }
 
-    /// Whether every one of `parts` is kept under `scope`, or is on its way there.
+    /// Whether each of `parts` is stored under `scope` or on its way to the store.
     pub fn has_all(&self, scope: &str, parts: &[PromptPart], now: Instant) -> bool {
         parts.iter().all(|part| {
             let digest = part_digest(scope, &part.id);
@@ -160,7 +162,7 @@
         })
     }
 
-    /// Takes in that `parts` are being copied there.
+    /// Records that `parts` are being copied to the store.
     pub fn record_copy(&mut self, scope: &str, parts: &[PromptPart], now: Instant) {
         if self.pending_copies.len() > MAX_PENDING_COPIES {
             self.pending_copies.retain(|_, until| now < *until);
@@ -172,14 +174,14 @@
     }
 }
 
-/// The parts that each known store keeps.
+/// Contents of all known stores.
 #[derive(Debug, Default)]
 pub struct CachedParts {
     by_store: RefCell<HashMap<SocketAddr, StoreContents>>,
 }
 
 impl CachedParts {
-    /// Does something with what `store` keeps.
+    /// Calls `action` with the contents of `store`.
     pub fn with_store<R>(
         &self,
         store: SocketAddr,
@@ -189,18 +191,18 @@
         action(by_store.entry(store).or_default())
     }
 
-    /// Takes in news of a store.
+    /// Applies an update on a store.
     pub fn apply(&self, update: &CacheUpdate) {
         self.with_store(update.store, |kept| kept.apply(update));
     }
 
-    /// Whether it is known what `store` keeps.
+    /// Whether the contents of `store` are known.
     pub fn is_known(&self, store: SocketAddr) -> bool {
         let by_store = self.by_store.borrow();
         by_store.get(&store).is_some_and(|kept| kept.is_known)
     }
 
-    /// Whether `store` is known to keep all `parts` under `scope`.
+    /// Whether `store` is known to hold all `parts` under `scope`, or to be receiving them.
     pub fn keeps(
         &self,
         store: SocketAddr,
@@ -213,8 +215,8 @@
         kept.is_some_and(|kept| kept.has_all(scope, parts, now))
     }
 
-    /// Whether a request should copy `parts` to `store`: unless they are known to be there, or to be on
-    /// their way. Takes in that it does.
+    /// Returns whether a request should copy `parts` to `store`, and records the copy if so. It should unless the parts
+    /// are known to be stored there or on their way.
     pub fn try_start_copy(
         &self,
         store: SocketAddr,
--- a/crates/gateway/src/cache/mod.rs
+++ b/crates/gateway/src/cache/mod.rs
@@ -1,11 +1,10 @@
-//! What stores of cached prompt work are known to keep.
+//! What the prompt-cache stores and the replicas are known to have cached.
 //!
-//! Copying a prompt to a store takes its link for tens of milliseconds. Without knowledge of what is there,
-//! every request would copy all of its parts again, and the link would have no room for those who need
-//! something from it.
+//! Copying a prompt to a store occupies the store's link for tens of milliseconds. If its contents were not known,
+//! every request would copy all of its parts again and leave no room on the link for those who need to fetch something.
 //!
-//! In each group of daemons one, its leader, follows the events of the stores and tells the others of them
-//! ([`crate::peers`]): were each to follow them itself, the same events would cross zones once for every daemon.
+//! In each group of gateways only the leader follows the events of the stores and passes them on to the members
+//! ([`crate::peers`]). If each gateway followed them itself, the same events would cross zones once per gateway.
 
 mod follow;
 mod holders;
