--- a/crates/gateway/tests/holders.rs
+++ b/crates/gateway/tests/holders.rs
@@ -1,4 +1,4 @@
-//! What is believed of which replicas keep which prompts.
+//! Estimate of which replicas have which prompt prefixes cached.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/gateway/tests/lease_eras.rs
+++ b/crates/gateway/tests/lease_eras.rs
@@ -1,5 +1,5 @@
-//! The lease for orders at a store that comes back from a copy: no token is given out twice, and two holders never order
-//! at once.
+//! The order lease on a store that is restored from a copy: no token is given out twice, and no two holders may give
+//! orders at the same time.
 
 mod lease_store;
 
@@ -10,8 +10,8 @@
 use lease_store::{DISTANCE, Store, acquire, at, gateway, read, step};
 use quickcheck::quickcheck;
 
-/// After how long a daemon that only knows the copy may order: whoever held the lease that was lost has stopped by then,
-/// and its orders lie the distance back.
+/// Time after which a gateway that knows only the copy may give orders: the holder of the lost lease has stopped by
+/// then, and its last order is at least the handover gap old.
 fn takeover_wait() -> std::time::Duration {
     let times = lease_times(DISTANCE);
     times.term + times.handover_gap
@@ -19,8 +19,9 @@
 
 #[test]
 fn a_token_that_was_lost_with_the_copy_is_not_given_out_again() {
-    // One held the lease under its first token when the copy was made. It stopped, and another took the lease under the
-    // next token. The copy knows nothing of that: whoever takes the lease from it would give orders under the same token.
+    // A copy is made while "one" holds the lease under the first token. It stops, and "other" takes the lease under the
+    // next token. The copy does not contain that, so a later holder would use the same token if it derived its token
+    // from the copy.
     let mut store = Store::new();
     let mut one = gateway("one", 1, &store, at(0));
     let (_, first) = acquire(&mut one, &mut store, at(0), at(6000)).expect("held");
@@ -42,8 +43,8 @@
 
 #[test]
 fn a_machine_named_in_the_copy_waits_for_a_later_holder() {
-    // The copy names a machine whose lease another one has taken since, and still orders under. The machine's process may
-    // not take up its old lease, neither the one that wrote it nor one that was started again.
+    // The copy names a machine whose lease another one has taken since and still uses. Neither the process that wrote
+    // the record nor its restarted successor may take the old lease again.
     for incarnation in [1, 2] {
         let mut store = Store::new();
         let mut one = gateway("one", 1, &store, at(0));
@@ -117,8 +118,8 @@
 
 #[test]
 fn a_lease_that_cannot_be_read_in_a_new_era_gives_no_lower_token() {
-    // Tokens of a lease that can't be read were taken for no higher than its revision. After the store came back from a
-    // copy the revision is lower than tokens that were given out since.
+    // The tokens of a lease that can't be read are assumed to be no higher than its revision. After the restore the
+    // revision is lower than tokens that have been given out since the copy.
     let mut store = Store::new();
     store.write_unrelated(10);
     let mut one = gateway("one", 1, &store, at(0));
@@ -170,8 +171,8 @@
 
 #[test]
 fn the_last_holder_takes_it_again_at_once_as_long_as_nobody_can_have_taken_it_since() {
-    // Its term has ended, but every other gateway has to wait for the distance as well. Weights that are named just after
-    // the store's return would wait 5 s for the lease that it has lost.
+    // The term of the last holder has ended, but every other gateway also has to wait for the handover gap. Otherwise
+    // weights named just after the restore would wait 5 s for the lost lease.
     let times = lease_times(DISTANCE);
     let exclusive_time = times.term + times.handover_gap;
     for (elapsed, may_take) in [(exclusive_time - at(1), true), (exclusive_time, false)] {
@@ -219,8 +220,8 @@
 
 #[test]
 fn a_write_of_an_earlier_era_that_takes_effect_late_gives_no_lease() {
-    // The holder's renewal was on its way as the store went. It came to the copy, where the revision of its condition had
-    // been given out again, for the lease of another holder.
+    // A renewal is in flight when the store fails. It reaches the restored copy, where the revision that it expects has
+    // been given out again, for another holder's lease.
     let mut store = Store::new();
     let mut one = gateway("one", 1, &store, at(0));
     let (first_held_at, _) = acquire(&mut one, &mut store, at(0), at(6000)).expect("held");
@@ -241,12 +242,12 @@
     let answer = store.write(&record, expected);
     one.on_write(record, late_at, held_at + at(10), answer);
     assert_eq!(one.token_at(held_at + at(10)), None);
-    // Who reads it afterwards, or starts then, does not take it for its own either.
+    // A gateway that reads the record afterwards, or starts then, does not take it for its own either.
     read(&mut one, &store, held_at + at(20));
     assert_eq!(step(&mut one, &mut store, held_at + at(20)), None);
     let mut later = gateway("one", 2, &store, held_at + at(20));
     assert_eq!(step(&mut later, &mut store, held_at + at(20)), None);
-    // The holder goes on.
+    // The holder continues.
     read(&mut other, &store, held_at + at(30));
     let renewed = step(&mut other, &mut store, held_at + at(900)).expect("it goes on");
     assert!(renewed >= token);
@@ -264,7 +265,7 @@
     read(&mut later, &store, at(100));
     assert_eq!(step(&mut later, &mut store, at(100)), None);
 
-    // The next era is none that a first start knows of.
+    // The first start does not apply to the next era.
     let mut first = OrderLease::new("one", 1, lease_times(DISTANCE)).at_first_start(true);
     read(&mut first, &store, at(100));
     store.restore_copy(0);
@@ -274,8 +275,8 @@
 
 #[test]
 fn repeated_refusals_raise_the_token_past_those_seen_by_replicas() {
-    // All daemons were started again, at a store that names no era and came back: nobody knows the tokens that were lost,
-    // and replicas only say that they have seen a higher one.
+    // All gateways were restarted, and the restored store names no era. No gateway knows the lost tokens, and replicas
+    // only report that they have seen a higher one.
     let mut store = Store::new();
     let mut lease = gateway("one", 1, &store, at(0));
     let (mut now, mut token) = acquire(&mut lease, &mut store, at(0), at(6000)).expect("held");
@@ -292,8 +293,8 @@
 }
 
 quickcheck! {
-    /// In a later era the next token is above all that a daemon with any knowledge gave out in an earlier one, whatever the
-    /// next holder knows, as long as an era has no more than its tokens.
+    /// The next token in a later era is above all tokens given out in an earlier one, whatever the next holder knows,
+    /// as long as no era uses up its range of tokens.
     fn tokens_of_a_later_era_are_higher(era: u16, later: u16, given_out: u16, known: u32) -> bool {
         let (era, later) = (u64::from(era), u64::from(era) + 1 + u64::from(later));
         let mut token = 0;
@@ -305,14 +306,14 @@
         next > token && next > known && next <= MAX_TOKEN
     }
 
-    /// It is above what is known, and never beyond what readers of JSON take exactly.
+    /// The next token is above the known ones, and never above the largest integer that JSON readers represent exactly.
     fn the_next_token_is_above_what_is_known(highest: u64, era: Option<u64>, refusals: u32) -> bool {
         let highest = highest.min(MAX_TOKEN);
         let next = next_token(highest, StoreEra::from_number(era), refusals);
         next <= MAX_TOKEN && (next > highest || highest == MAX_TOKEN)
     }
 
-    /// Where a lease can't be read, the bound is no lower than any token that was given out, one a write.
+    /// For a lease that can't be read, the bound is no lower than any token given out before, at one token per write.
     fn an_unreadable_lease_stands_for_all_tokens_before_it(era: u16, writes: u16) -> bool {
         let position = StorePosition {
             era: StoreEra::named(u64::from(era)),
--- a/crates/gateway/tests/lease_model.rs
+++ b/crates/gateway/tests/lease_model.rs
@@ -1,6 +1,6 @@
-//! A model of the lease for orders: three gateways and one store that comes back from a copy once, at any moment and with a
-//! copy of any age. Calls are answered, lost before or after their effect, or take effect late. Every state up to a number of
-//! ticks is visited, breadth first; the gateways' part is the one that runs in them.
+//! Model of the order lease: three gateways, and a store that is restored from a copy once, at any time and from a copy
+//! of any age. Calls are answered, lost before or after their effect, or take effect late. All states up to a number of
+//! ticks are visited breadth first. The gateways run the production code.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,10 +12,10 @@
 
 const GATEWAYS: usize = 3;
 
-/// One tick.
+/// Duration of a tick.
 const TICK: Duration = Duration::from_secs(1);
 
-/// The times of the lease: a term of two ticks, renewed each tick, and holders one tick apart.
+/// Times of the lease: a term of two ticks, a renewal each tick, and a gap of one tick between holders.
 const TIMES: LeaseTimes = LeaseTimes {
     term: Duration::from_secs(2),
     handover_gap: Duration::from_secs(1),
@@ -23,24 +23,24 @@
     takeover_delay: Duration::ZERO,
 };
 
-/// Calls whose callers have given up and that may still take effect.
+/// Maximum number of calls that their callers have given up and that may still take effect.
 const MAX_LATE: usize = 1;
 
 /// Whether gateways see the era of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EraVisibility {
     Visible,
-    /// As before they were read: the store seems never to change its era.
+    /// Gateways see no era, as in versions that did not read it.
     Hidden,
 }
 
-/// What is modelled.
+/// Bounds of the model.
 #[derive(Debug, Clone, Copy)]
 struct Model {
     eras: EraVisibility,
     ticks: u32,
     restarts: u32,
-    /// Calls at the most that are not answered at once.
+    /// Maximum number of calls that are not answered at once.
     failed_calls: u32,
 }
 
@@ -48,25 +48,25 @@
 struct Store {
     era: u64,
     now: Content,
-    /// The copy from which it will come back, once that is made.
+    /// Copy from which the store will be restored, once it has been made.
     copy: Option<Content>,
 }
 
-/// What the store holds.
+/// Contents of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Content {
     revision: u64,
     lease: Option<(u64, LeaseRecord)>,
 }
 
-/// A write on its way.
+/// Write that has been sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Call {
     record: LeaseRecord,
     expected: Option<u64>,
 }
 
-/// A write whose caller waits for the answer.
+/// Write whose caller waits for the answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Pending {
     call: Call,
@@ -76,7 +76,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Gateway {
     lease: OrderLease,
-    /// The era that it was told.
+    /// Latest era that the gateway was told.
     era: u64,
     pending: Option<Pending>,
 }
@@ -87,14 +87,15 @@
     store: Store,
     gateways: [Gateway; GATEWAYS],
     late: Vec<Call>,
-    /// Calls so far that were not answered at once.
+    /// Number of calls so far that were not answered at once.
     failed_calls: u32,
     restarts: u32,
-    /// The last gateway that could order, until when, and under which token; tokens never fall, so this is the highest.
+    /// The last gateway that could give orders, the last tick at which it could, and its token. Tokens never fall, so
+    /// this is the highest one.
     last_order: Option<(usize, u32, u64)>,
 }
 
-/// What must not be reached.
+/// States that must not be reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Violation {
     TwoHolders,
@@ -132,7 +133,7 @@
                 pending: None,
             };
             self.read(&mut gateway, &store, 0);
-            // From now on it wants to order.
+            // From now on the gateway wants to give orders.
             let _ = gateway.lease.next_action(Duration::ZERO, Duration::ZERO);
             gateway
         });
@@ -149,7 +150,7 @@
         state
     }
 
-    /// The first gateway takes the lease, and the others see that.
+    /// Lets the first gateway take the lease and the others see it.
     fn give_first_lease(self, state: &mut State) {
         let mut next = Vec::new();
         self.start_write(state, 0, &mut next);
@@ -162,7 +163,7 @@
         }
     }
 
-    /// A gateway lists the lease.
+    /// Lets a gateway list the lease.
     fn read(self, gateway: &mut Gateway, store: &Store, now: u32) {
         if store.era > gateway.era {
             gateway.era = store.era;
@@ -174,7 +175,7 @@
         gateway.lease.on_list(at_tick(now), lease);
     }
 
-    /// The store performs a write; its answer.
+    /// Performs a write and returns its answer.
     fn perform(self, store: &mut Store, call: &Call) -> WriteAnswer {
         let lease = store.now.lease.clone();
         if lease.as_ref().map(|(revision, _)| *revision) != call.expected {
@@ -192,7 +193,7 @@
         WriteAnswer::Accepted(self.position(store.era, revision))
     }
 
-    /// Every state that may follow.
+    /// Returns all states that may follow.
     fn next_states(self, state: &State) -> Vec<State> {
         let mut next = Vec::new();
         for index in 0..GATEWAYS {
@@ -201,12 +202,12 @@
         for position in 0..state.late.len() {
             let mut effect = state.clone();
             let call = effect.late.remove(position);
-            // Nobody waits for the answer any more.
+            // The caller no longer waits for the answer.
             let _ = self.perform(&mut effect.store, &call);
             next.push(effect);
         }
         next.extend(self.copy_or_restore(state));
-        // A call is given up before a tick is over that began before it.
+        // A call is given up before the tick in which it started ends.
         let mut pending = state
             .gateways
             .iter()
@@ -222,7 +223,7 @@
         next
     }
 
-    /// The store's copy is made, or it comes back from that.
+    /// Makes the copy of the store, or restores the store from it.
     fn copy_or_restore(self, state: &State) -> Option<State> {
         let mut state = state.clone();
         match state.store.copy.take() {
@@ -240,7 +241,7 @@
         let mut read = state.clone();
         self.read(&mut read.gateways[index], &state.store, state.now);
         next.push(read);
-        // The last two gateways begin alike, so it is enough that one of them is started again.
+        // The last two gateways start alike, so it is enough to restart one of them.
         if state.restarts < self.restarts && index < GATEWAYS - 1 {
             next.push(self.restart(state, index));
         }
@@ -250,7 +251,7 @@
         }
     }
 
-    /// The process is killed and started again; a write of it may still take effect.
+    /// Kills and restarts the process; its pending write may still take effect.
     fn restart(self, state: &State, index: usize) -> State {
         let mut state = state.clone();
         state.restarts += 1;
@@ -266,7 +267,7 @@
         state
     }
 
-    /// The gateway's write, if it makes one: answered, with its answer lost, or on its way for a while.
+    /// Starts the gateway's next write, if there is one: it is answered, loses its answer, or stays in flight.
     fn start_write(self, state: &State, index: usize, next: &mut Vec<State>) {
         let mut in_flight = state.clone();
         let now = at_tick(state.now);
@@ -299,7 +300,7 @@
         next.push(in_flight);
     }
 
-    /// What becomes of a write on its way: it takes effect and is answered, or it is given up and may take effect late.
+    /// Ends a pending write: it takes effect and is answered, or it is given up and may take effect late.
     fn finish_write(self, state: &State, index: usize, pending: &Pending, next: &mut Vec<State>) {
         let mut answered = state.clone();
         answered.gateways[index].pending = None;
@@ -319,7 +320,7 @@
 }
 
 impl State {
-    /// Takes in who may order now.
+    /// Checks which gateways may give orders now and records them.
     fn check_orders(&mut self) -> Result<(), Violation> {
         let now = at_tick(self.now);
         let holders = self.gateways.iter().enumerate();
@@ -341,7 +342,7 @@
         Ok(())
     }
 
-    /// A gateway takes in what became of its write.
+    /// Passes the answer of a write to its gateway.
     fn record_answer(&mut self, index: usize, call: &Call, started_at: u32, answer: WriteAnswer) {
         let lease = &mut self.gateways[index].lease;
         lease.on_write(
@@ -352,7 +353,7 @@
         );
     }
 
-    /// A write may still take effect.
+    /// Keeps a write that may still take effect.
     fn add_late_call(&mut self, call: Call) {
         if self.late.len() < MAX_LATE {
             self.late.push(call);
@@ -366,7 +367,7 @@
     }
 }
 
-/// Visits every state; how many there are, and the faults that were reached.
+/// Visits every state; returns the number of states and the violations that were reached.
 fn explore(model: Model) -> (usize, Vec<Violation>) {
     let initial = model.initial_state();
     let mut visited = HashSet::from([initial.digest()]);
--- a/crates/gateway/tests/lease_store/mod.rs
+++ b/crates/gateway/tests/lease_store/mod.rs
@@ -1,6 +1,6 @@
-//! The lease's object in a store that can come back from a copy.
+//! The lease object in a store that can be restored from a copy.
 
-// Each test file uses a part.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -10,15 +10,15 @@
 use driftspring_gateway::rollout::{LeaseAction, OrderLease, lease_times};
 use driftspring_gateway::store::{StoreEra, StorePosition};
 
-/// How far apart orders of two holders must lie.
+/// Minimum time between orders of two holders.
 pub const DISTANCE: Duration = Duration::from_secs(3);
 
-/// A store with nothing but the lease's object; others write to it too.
+/// A store that holds only the lease object; unrelated writes raise its revision too.
 #[derive(Debug, Clone)]
 pub struct Store {
-    /// Its era.
+    /// Current era.
     pub era: u64,
-    /// Its revision.
+    /// Current revision.
     pub revision: u64,
     object: Option<(u64, LeaseRecord)>,
     /// The object at each revision.
@@ -26,7 +26,7 @@
 }
 
 impl Store {
-    /// An empty store in its first era.
+    /// Creates an empty store in its first era.
     pub fn new() -> Self {
         Self {
             era: 1,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// How far it has come.
+    /// Current position.
     pub fn position(&self) -> StorePosition {
         self.at(self.revision)
     }
@@ -48,13 +48,13 @@
         }
     }
 
-    /// The lease.
+    /// The lease object with its position.
     pub fn lease(&self) -> Option<(StorePosition, LeaseRecord)> {
         let (revision, record) = self.object.clone()?;
         Some((self.at(revision), record))
     }
 
-    /// Writes the lease on condition of its revision, whatever the era of that is.
+    /// Writes the lease on condition of its revision, regardless of the era of the expected position.
     pub fn write(&mut self, record: &LeaseRecord, expected: Option<StorePosition>) -> WriteAnswer {
         let known = self.object.as_ref().map(|(revision, _)| *revision);
         if known != expected.map(|expected| expected.revision) {
@@ -71,7 +71,7 @@
         WriteAnswer::Accepted(self.position())
     }
 
-    /// Somebody writes something else, so many times.
+    /// Performs `times` writes of other objects.
     pub fn write_unrelated(&mut self, times: u64) {
         for _ in 0..times {
             self.revision += 1;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Comes back from a copy that was made at `revision`.
+    /// Restores the copy that was made at `revision`, in a new era.
     pub fn restore_copy(&mut self, revision: u64) {
         self.history.retain(|known, _| *known <= revision);
         self.object = self.history[&revision].clone();
@@ -88,20 +88,20 @@
     }
 }
 
-/// A daemon on `machine` that has read the lease at `now`.
+/// Creates a gateway on `machine` that has read the lease at `now`.
 pub fn gateway(machine: &str, incarnation: u64, store: &Store, now: Duration) -> OrderLease {
     let mut lease = OrderLease::new(machine, incarnation, lease_times(DISTANCE));
     read(&mut lease, store, now);
     lease
 }
 
-/// The daemon reads the lease at `now`.
+/// Lets the gateway read the lease at `now`.
 pub fn read(lease: &mut OrderLease, store: &Store, now: Duration) {
     lease.on_store_position(now, store.position());
     lease.on_list(now, store.lease());
 }
 
-/// The daemon takes a step towards the lease; the token where it holds it then.
+/// Lets the gateway take the next step to acquire the lease; returns the token if it holds the lease afterwards.
 pub fn step(lease: &mut OrderLease, store: &mut Store, now: Duration) -> Option<u64> {
     match lease.next_action(now, Duration::ZERO) {
         LeaseAction::Hold(token) => Some(token),
@@ -114,7 +114,8 @@
     }
 }
 
-/// Takes steps every 50 ms until the daemon holds the lease or `until` is reached; when it held it and under which token.
+/// Takes a step every 50 ms until the gateway holds the lease or `until` is reached; returns the time at which it held
+/// the lease and the token.
 pub fn acquire(
     lease: &mut OrderLease,
     store: &mut Store,
@@ -130,7 +131,6 @@
     None
 }
 
-/// A moment.
 pub fn at(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
--- a/crates/gateway/tests/order_lease.rs
+++ b/crates/gateway/tests/order_lease.rs
@@ -1,4 +1,4 @@
-//! Orders of two holders lie apart, whatever becomes of messages; tokens are never used twice.
+//! Orders of two lease holders keep the handover gap, even if messages are lost or delayed, and no token is used twice.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const DISTANCE: Duration = Duration::from_secs(3);
 const NO_JITTER: Duration = Duration::ZERO;
 
-/// The lease's object in a store.
+/// The lease object in a store.
 #[derive(Default)]
 struct Store {
     object: Option<(StorePosition, LeaseRecord)>,
@@ -138,7 +138,7 @@
     assert_eq!(acquire(&mut one, &mut store, at(100)), Some(2));
 }
 
-/// A later process of the machine "one", which has read the lease.
+/// Creates a later process of the machine "one" that has read the lease.
 fn restarted_gateway(incarnation: u64, store: &Store, now: Duration) -> OrderLease {
     let mut lease = OrderLease::new("one", incarnation, lease_times(DISTANCE));
     lease.on_list(now, store.object.clone());
@@ -162,8 +162,8 @@
 }
 
 quickcheck! {
-    /// However often a machine's process is started again, and whatever becomes of its writes, each life that
-    /// orders has a higher token than those before.
+    /// However often a machine's process is restarted, and whatever happens to its writes, each incarnation that may
+    /// give orders has a higher token than all earlier ones.
     fn no_later_incarnation_orders_under_a_token_of_an_earlier_one(fates: Vec<(u8, bool)>) -> bool {
         let mut store = Store::default();
         let mut lease = gateway("one");
@@ -188,7 +188,8 @@
     }
 }
 
-/// What happens to one write.
+/// Performs the next write of `lease`: `fate` decides whether it is answered, loses its answer, or takes effect two
+/// seconds late.
 fn write_with_fate(
     lease: &mut OrderLease,
     store: &mut Store,
@@ -216,8 +217,8 @@
 }
 
 quickcheck! {
-    /// Two daemons want the lease all the time; writes are answered, lost after their effect, or done two
-    /// seconds late; news of the object reach a daemon or not.
+    /// Two gateways want the lease all the time. Their writes are answered, lose their answer, or take effect two
+    /// seconds late; a gateway may or may not see the object.
     fn no_two_holders_order_within_the_distance(fates: Vec<(u8, u8)>) -> bool {
         let mut store = Store::default();
         let mut gateways = [gateway("one"), gateway("other")];
@@ -252,7 +253,7 @@
     }
 }
 
-/// How long after the end of trouble at the store a daemon may still be behind (`contactMs` of the rules).
+/// Time for which a gateway may still be behind after the store has recovered (`contactMs`).
 const MAX_CATCH_UP_TIME: Duration = Duration::from_millis(3000);
 
 #[test]
@@ -260,7 +261,7 @@
     let (mut store, mut one, mut other) = (Store::default(), gateway("one"), gateway("other"));
     acquire(&mut one, &mut store, at(0));
     other.on_list(at(100), store.object.clone());
-    // The store is away from 1 s to 20 s; what is listed then is what was known before.
+    // The store is unavailable from 1 s to 20 s; the list read then shows the object that was known before.
     let back = at(20_000);
     other.on_list(back, store.object.clone());
     let wait = match other.next_action(back, NO_JITTER) {
