--- a/crates/gateway/src/pipeline/admission.rs
+++ b/crates/gateway/src/pipeline/admission.rs
@@ -95,8 +95,8 @@
     let now = Instant::now();
     let is_regulated = context.prompt().is_some() && progress == Progress::New;
     let expected_at = |replica: &Rc<Replica>| replica.queue_waits.expected_wait(rank, now);
-    let line_at = |replica: &Rc<Replica>| replica.queue_waits.queue_state(rank, now);
-    let service_wait = service_queue_wait(candidates.iter().map(line_at));
+    let queue_state_at = |replica: &Rc<Replica>| replica.queue_waits.queue_state(rank, now);
+    let service_wait = service_queue_wait(candidates.iter().map(queue_state_at));
     let objective = context.configuration.longest_objective(&context.service);
     if is_regulated && are_queues_too_long(service_wait, objective) {
         let acceptable_wait = objective.unwrap_or_default();
