--- a/crates/gateway-program/src/lib.rs
+++ b/crates/gateway-program/src/lib.rs
@@ -18,7 +18,7 @@
 use signal_hook::iterator::Signals;
 
 /// The exit code for faulty settings.
-const FAULTY_SETTINGS: u8 = 2;
+const INVALID_SETTINGS_EXIT_CODE: u8 = 2;
 
 /// Runs the program on the process's own flags.
 ///
@@ -43,7 +43,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{error}");
-            return Ok(ExitCode::from(FAULTY_SETTINGS));
+            return Ok(ExitCode::from(INVALID_SETTINGS_EXIT_CODE));
         }
     };
     let format = LogFormat::from_setting(settings.log.json);
@@ -75,7 +75,7 @@
         }
         Err(error) => {
             eprintln!("{error}");
-            ExitCode::from(FAULTY_SETTINGS)
+            ExitCode::from(INVALID_SETTINGS_EXIT_CODE)
         }
     }
 }
--- a/crates/gateway-program/src/quarantine.rs
+++ b/crates/gateway-program/src/quarantine.rs
@@ -16,12 +16,12 @@
     let settings = load_gateway(file).map_err(|error| anyhow!("{error}"))?;
     let release = release.map(str::parse::<Fingerprint>).transpose()?;
     System::new("quarantine", DefaultRuntime).block_on(async move {
-        let listed = list_quarantined(&OperatorPlatform, settings.store);
-        let objects = listed.await.context("listing the quarantine")?;
+        let listing = list_quarantined(&OperatorPlatform, settings.store);
+        let objects = listing.await.context("listing the quarantine")?;
         match release {
             None => {
                 for object in &objects {
-                    print(object, &objects);
+                    print_object(object, &objects);
                 }
                 Ok(ExitCode::SUCCESS)
             }
@@ -30,8 +30,8 @@
                 let Some(object) = objects.iter().find(|object| object.name == name) else {
                     bail!("the store keeps no request with the fingerprint {fingerprint}");
                 };
-                let deleted = delete_quarantined(&OperatorPlatform, settings.store, object);
-                deleted.await.context("releasing")?;
+                let deletion = delete_quarantined(&OperatorPlatform, settings.store, object);
+                deletion.await.context("releasing")?;
                 println!("released {fingerprint}");
                 Ok(ExitCode::SUCCESS)
             }
@@ -39,10 +39,14 @@
     })
 }
 
-fn print(object: &QuarantineObject, all: &[QuarantineObject]) {
+fn print_object(object: &QuarantineObject, all: &[QuarantineObject]) {
     match &object.content {
         Ok(ObjectContent::Quarantine(record)) => {
-            print_record(&object.name, record, count_rivals(object, record, all));
+            print_record(
+                &object.name,
+                record,
+                count_other_suspects(object, record, all),
+            );
         }
         Ok(_) => println!("{} is no record of a request", object.name),
         Err(error) => println!("{} can't be read: {error}", object.name),
@@ -50,36 +54,40 @@
 }
 
 /// How many other requests in quarantine were open at some of the same ends.
-fn count_rivals(
+fn count_other_suspects(
     object: &QuarantineObject,
     record: &QuarantineRecord,
     all: &[QuarantineObject],
 ) -> usize {
-    let is_rival = |other: &QuarantineRecord| {
-        let mut ends = other.replicas.iter();
-        other.is_quarantined && ends.any(|end| record.replicas.contains(end))
+    let is_other_suspect = |other: &QuarantineRecord| {
+        let mut crashes = other.replicas.iter();
+        other.is_quarantined && crashes.any(|crash| record.replicas.contains(crash))
     };
     let others = all.iter().filter(|other| other.name != object.name);
     others
-        .filter(|other| matches!(&other.content, Ok(ObjectContent::Quarantine(other)) if is_rival(other)))
+        .filter(|other| matches!(&other.content, Ok(ObjectContent::Quarantine(other)) if is_other_suspect(other)))
         .count()
 }
 
 /// Why a request is held or sent.
-fn reason(record: &QuarantineRecord, rivals: usize) -> String {
-    match (record.is_quarantined, rivals, record.isolated_trials) {
+fn reason(record: &QuarantineRecord, other_suspects: usize) -> String {
+    match (
+        record.is_quarantined,
+        other_suspects,
+        record.isolated_trials,
+    ) {
         (false, ..) => "sent, once in each try: so few ends prove nothing".to_owned(),
         (true, _, trials) if trials > 0 => {
             format!("held: tried apart {trials} times without a whole answer")
         }
         (true, 0, _) => "held: no other request explains these ends".to_owned(),
-        (true, rivals, _) => format!(
-            "held until it is tried apart: {rivals} others in quarantine were open at some of these ends"
+        (true, other_suspects, _) => format!(
+            "held until it is tried apart: {other_suspects} others in quarantine were open at some of these ends"
         ),
     }
 }
 
-fn print_record(name: &str, record: &QuarantineRecord, rivals: usize) {
+fn print_record(name: &str, record: &QuarantineRecord, other_suspects: usize) {
     let replicas = record.replicas.iter();
     let replicas: Vec<String> = replicas.map(|digest| format!("{digest:016x}")).collect();
     println!(
@@ -91,6 +99,6 @@
         replicas.join(","),
         record.trials,
         record.isolated_trials,
-        reason(record, rivals)
+        reason(record, other_suspects)
     );
 }
