--- a/crates/gateway-program/src/command_line.rs
+++ b/crates/gateway-program/src/command_line.rs
@@ -1,25 +1,25 @@
-//! The flags of the gateway.
+//! The command line of the gateway.
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// The driftspring gateway: routes opaque requests to replicas on the operator's platform.
+    /// The driftspring gateway: routes requests to replicas on the operator's platform without reading their content.
     cmd driftspring-gateway {
-        /// Serves until SIGTERM or SIGINT; reads the settings again at SIGHUP.
+        /// Serves until SIGTERM or SIGINT; reloads the settings on SIGHUP.
         cmd run {
             /// The settings file (TOML); see docs/CONFIG.md.
             required file: PathBuf
         }
-        /// Checks a settings file and lists every fault.
+        /// Checks a settings file and lists all errors in it.
         cmd check-config {
             /// The settings file (TOML).
             required file: PathBuf
         }
-        /// Lists the requests that ended replicas, as the store keeps them: fingerprint, ends, whether quarantined.
+        /// Lists the store's records of requests that crashed replicas: fingerprint, crashes, whether quarantined.
         cmd quarantine {
-            /// The settings file (TOML), for the address of the store.
+            /// The settings file (TOML), which gives the address of the store.
             required file: PathBuf
-            /// Takes the request with this fingerprint out of quarantine; every gateway then sends it again.
+            /// Releases the request with this fingerprint from quarantine; all gateways then send it to replicas again.
             optional --release fingerprint: String
         }
     }
--- a/crates/gateway-program/src/lib.rs
+++ b/crates/gateway-program/src/lib.rs
@@ -1,5 +1,5 @@
-//! The `driftspring-gateway` program: the gateway on the operator's platform. A library, so that the fault
-//! soak can run the same program as separate processes.
+//! The `driftspring-gateway` program: the gateway for the operator's platform. It is a library so that the fault soak test
+//! can run the same program as separate processes.
 
 mod command_line;
 mod quarantine;
@@ -17,14 +17,14 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// The exit code for faulty settings.
+/// The exit code for invalid settings.
 const INVALID_SETTINGS_EXIT_CODE: u8 = 2;
 
-/// Runs the program on the process's own flags.
+/// Runs the program with the command line of this process.
 ///
 /// # Errors
 ///
-/// The gateway can't be started, or did not end as planned.
+/// The gateway can't start, or the quarantine records can't be read or deleted.
 pub fn main() -> anyhow::Result<ExitCode> {
     match DriftspringGateway::from_env_or_exit().subcommand {
         DriftspringGatewayCmd::Run(flags) => run(&flags.file),
@@ -35,10 +35,11 @@
     }
 }
 
-/// Serves until SIGTERM or SIGINT, then makes a planned stop.
+/// Serves until SIGTERM or SIGINT, then shuts down gracefully.
 fn run(file: &Path) -> anyhow::Result<ExitCode> {
-    // Before all else: a reload that is ordered while the process starts would end it.
-    let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).context("waiting for signals")?;
+    // The handlers are registered first: a SIGHUP during start-up would otherwise terminate the process.
+    let mut signals =
+        Signals::new([SIGTERM, SIGINT, SIGHUP]).context("registering signal handlers")?;
     let settings = match load_gateway(file) {
         Ok(settings) => settings,
         Err(error) => {
@@ -58,12 +59,12 @@
     }
     running.drain();
     logs.flush();
-    // Not by a return: the HTTP library takes 0.3 s to end its servers, in which it keeps the connections and answers nothing. A
-    // caller whose request comes now is told at once that nobody has read it.
+    // Exits instead of returning: the HTTP library takes 0.3 s to shut down its servers, and meanwhile keeps connections open
+    // without answering. After an exit, a caller that sends a request learns at once that nobody has read it.
     std::process::exit(0)
 }
 
-/// Checks a settings file; lists every fault on standard error.
+/// Checks a settings file and lists all errors in it on standard error.
 fn check_config(file: &Path) -> ExitCode {
     match load_gateway(file) {
         Ok(settings) => {
--- a/crates/gateway-program/src/quarantine.rs
+++ b/crates/gateway-program/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! `driftspring-gateway quarantine`: what the store keeps of requests that ended replicas, and their release.
+//! `driftspring-gateway quarantine`: lists the store's records of requests that crashed replicas, and releases requests.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -11,13 +11,13 @@
 use driftspring_settings::load_gateway;
 use ntex::rt::{DefaultRuntime, System};
 
-/// Lists, or releases one.
+/// Lists all records, or releases the request with the fingerprint `release`.
 pub(crate) fn run(file: &Path, release: Option<&str>) -> anyhow::Result<ExitCode> {
     let settings = load_gateway(file).map_err(|error| anyhow!("{error}"))?;
     let release = release.map(str::parse::<Fingerprint>).transpose()?;
     System::new("quarantine", DefaultRuntime).block_on(async move {
         let listing = list_quarantined(&OperatorPlatform, settings.store);
-        let objects = listing.await.context("listing the quarantine")?;
+        let objects = listing.await.context("listing the quarantine records")?;
         match release {
             None => {
                 for object in &objects {
@@ -28,10 +28,12 @@
             Some(fingerprint) => {
                 let name = fingerprint.to_string();
                 let Some(object) = objects.iter().find(|object| object.name == name) else {
-                    bail!("the store keeps no request with the fingerprint {fingerprint}");
+                    bail!(
+                        "the store has no record of a request with the fingerprint {fingerprint}"
+                    );
                 };
                 let deletion = delete_quarantined(&OperatorPlatform, settings.store, object);
-                deletion.await.context("releasing")?;
+                deletion.await.context("deleting the quarantine record")?;
                 println!("released {fingerprint}");
                 Ok(ExitCode::SUCCESS)
             }
@@ -48,12 +50,12 @@
                 count_other_suspects(object, record, all),
             );
         }
-        Ok(_) => println!("{} is no record of a request", object.name),
-        Err(error) => println!("{} can't be read: {error}", object.name),
+        Ok(_) => println!("{} is not a quarantine record", object.name),
+        Err(error) => println!("{} can't be parsed: {error}", object.name),
     }
 }
 
-/// How many other requests in quarantine were open at some of the same ends.
+/// The number of other quarantined requests that were open at any of the same crashes.
 fn count_other_suspects(
     object: &QuarantineObject,
     record: &QuarantineRecord,
@@ -69,7 +71,7 @@
         .count()
 }
 
-/// Why a request is held or sent.
+/// Why a request is held in quarantine or sent to replicas.
 fn reason(record: &QuarantineRecord, other_suspects: usize) -> String {
     match (
         record.is_quarantined,
--- a/crates/gateway-program/tests/quarantine.rs
+++ b/crates/gateway-program/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! `driftspring-gateway quarantine` lists what the store keeps, and releases one request.
+//! `driftspring-gateway quarantine` lists the store's records and releases a single request.
 
 #[path = "support/settings.rs"]
 mod settings;
--- a/crates/gateway-program/tests/support/settings.rs
+++ b/crates/gateway-program/tests/support/settings.rs
@@ -1,9 +1,9 @@
-//! The settings file of a gateway that a test runs as a process.
+//! The settings file for a gateway that a test runs as a separate process.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Writes settings into `folder` for a gateway that uses this store, with these settings of times; returns the file.
+/// Writes a settings file to `folder` for a gateway that uses `store`, with `times` in its section `[times]`; returns its path.
 pub fn write_settings(folder: &Path, store: SocketAddr, times: &str) -> PathBuf {
     let text = format!(
         r#"
