--- a/crates/gateway/src/own_daemon.rs
+++ b/crates/gateway/src/own_daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon's identity, and the seeds that it queries first, from its settings.
+//! A gateway's identity, and the seeds that it queries first, from its settings.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
     format!("{}@{}", settings.name, settings.listen.peers.ip())
 }
 
-/// This daemon's entry for other daemons.
+/// This gateway's entry for other gateways.
 pub fn own_daemon(settings: &GatewaySettings) -> WireDaemon {
     WireDaemon {
         name: settings.name.clone(),
@@ -29,7 +29,7 @@
     (machine.cores * 1000.0).min(machine.link_megabits) as u32
 }
 
-/// The machines configured as seeds, at the port at which every daemon receives datagrams. Each daemon starts with a
+/// The machines configured as seeds, at the port at which every gateway receives datagrams. Each gateway starts with a
 /// different one: hundreds that start together would otherwise all query the first.
 pub fn seeds(settings: &GatewaySettings) -> Vec<WireDaemon> {
     let own = settings.listen.peers;
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -1,4 +1,4 @@
-//! Receives datagrams: replies to queries of other daemons, and applies what they report.
+//! Receives datagrams: replies to queries of other gateways, and applies what they report.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -181,7 +181,7 @@
     let weights = state.weights.borrow().all();
     let suspected = state.suspected_weights.borrow();
     let era = state.store_eras.known();
-    // In an era learned from another daemon no position is known yet.
+    // In an era learned from another gateway no position is known yet.
     let position = Some(state.store_position.get()).filter(|known| known.era == era);
     SyncReply {
         nonce: query.nonce,
@@ -233,7 +233,7 @@
     }
 }
 
-/// The changes that the querying daemon lacks, packed if it accepts that.
+/// The changes that the querying gateway lacks, packed if it accepts that.
 fn page(
     state: &GatewayState,
     log: &ChangeLog,
@@ -259,7 +259,7 @@
     }
 }
 
-/// Records prompts that other daemons dispatched to replicas. Reports of this daemon's own prompts are ignored.
+/// Records prompts that other gateways dispatched to replicas. Reports of this gateway's own prompts are ignored.
 pub(super) fn apply_prompts(state: &GatewayState, prompts: &[WirePrompt]) {
     let now = Instant::now();
     let own = short_digest(&state.peers.own().name);
@@ -273,8 +273,8 @@
     }
 }
 
-/// Records the state of a replica's weight load. Suspected weights that a replica has loaded were named: the daemon
-/// that ordered the load tells this to the daemons that query it, but the reader of the store doesn't know.
+/// Records the state of a replica's weight load. Suspected weights that a replica has loaded were named: the gateway
+/// that ordered the load tells this to the gateways that query it, but the reader of the store doesn't know.
 pub(super) fn apply_load_status(state: &GatewayState, status: &LoadStatus) {
     if status.is_done {
         record_if_suspected(state, &status.weights());
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -29,7 +29,7 @@
 /// enough (1.7 s).
 const LEADER_ASK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The same for a daemon that has just started and has no view yet: the others, which may have started with it, need
+/// The same for a gateway that has just started and has no view yet: the others, which may have started with it, need
 /// about 100 ms to list the replicas, and nothing is served before. A group of 100 members sends 1,000 queries of 60
 /// bytes a second.
 const STARTING_ASK_INTERVAL: Duration = Duration::from_millis(100);
@@ -37,7 +37,7 @@
 /// How long to wait for a reply.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The age of the proof of the configuration from which a daemon without a usable source requests a proof itself. A
+/// The age of the proof of the configuration from which a gateway without a usable source requests a proof itself. A
 /// newer version must be in force 2 s after its acknowledgement on small sites, and after 3 s or more on sites with
 /// several groups.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(2000);
@@ -76,7 +76,7 @@
         let leader = chooser.leader(&group);
         state.peers.set_leader(leader);
         let leader = leader.map(|leader| name_digest(&leader.name));
-        // No daemon's name has the digest 0, so 0 means that there is no leader.
+        // No gateway's name has the digest 0, so 0 means that there is no leader.
         state.quotas.set_leader(leader.unwrap_or(0));
         let is_relay = state.peers.is_leader.get() && !others.is_empty();
         state.peers.prompt_relay.set_relay(is_relay);
@@ -139,8 +139,8 @@
     }
 }
 
-/// Records the source of this daemon's state. The daemon reads the store until another daemon has replied with a recent
-/// view: when many start together, the first in rank may have no view yet, and others rely on daemons that have one.
+/// Records the source of this gateway's state. This gateway reads the store until another gateway has replied with a recent
+/// view: when many start together, the first in rank may have no view yet, and others rely on gateways that have one.
 fn set_source(state: &GatewayState, source: &Source) {
     let is_reader = *source == Source::Store;
     if state.peers.is_reader.replace(is_reader) != is_reader {
@@ -156,7 +156,7 @@
     }
 }
 
-/// Queries one daemon; true if it has more changes to send.
+/// Queries one gateway; true if it has more changes to send.
 async fn ask_daemon(
     state: &Rc<GatewayState>,
     socket: &tokio::net::UdpSocket,
--- a/crates/gateway/src/peers/cached.rs
+++ b/crates/gateway/src/peers/cached.rs
@@ -1,4 +1,4 @@
-//! Replicates the contents of prompt-cache stores to the daemons of a group.
+//! Replicates the contents of prompt-cache stores to the gateways of a group.
 //!
 //! The leader of the group follows the events of the stores and sends them to the members in batches. A member that has
 //! just started, or missed that a store was restarted, fetches the whole contents page by page. The only cost of a lost
@@ -36,7 +36,7 @@
 /// then sends its whole contents.
 const MAX_PAUSE: Duration = Duration::from_secs(8);
 
-/// Sends to the group what this daemon learns of the stores, in an endless loop.
+/// Sends to the group what this gateway learns of the stores, in an endless loop.
 pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
         state.peers.cached_news_added.notified().await;
@@ -95,7 +95,7 @@
     Some(page)
 }
 
-/// Fetches the contents of unknown stores from this daemon's source, in an endless loop.
+/// Fetches the contents of unknown stores from this gateway's source, in an endless loop.
 pub(super) async fn catch_up(
     state: Rc<GatewayState>,
     socket: Rc<tokio::net::UdpSocket>,
--- a/crates/gateway/src/peers/change_log.rs
+++ b/crates/gateway/src/peers/change_log.rs
@@ -1,8 +1,8 @@
-//! Replicas and daemons in the order in which they changed.
+//! Replicas and gateways in the order in which they changed.
 //!
 //! Each item occurs once, at its last change, so the log has one entry for each item and for each tombstone of a
-//! removed item, of which only the newest are kept. A daemon that has the changes up to some number gets the later
-//! ones; a daemon that followed another log, or missed discarded tombstones, gets everything.
+//! removed item, of which only the newest are kept. A gateway that has the changes up to some number gets the later
+//! ones; a gateway that followed another log, or missed discarded tombstones, gets everything.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,7 +11,7 @@
 /// The number of tombstones that are kept.
 const MAX_TOMBSTONES: usize = 256;
 
-/// The change log of one incarnation of a daemon.
+/// The change log of one incarnation of a gateway.
 #[derive(Debug)]
 pub struct ChangeLog {
     id: u64,
@@ -35,7 +35,7 @@
     pub is_from_start: bool,
     /// Whether more changes follow.
     pub has_more: bool,
-    /// Whether the querying daemon already has every item, regardless of the log that it followed.
+    /// Whether the querying gateway already has every item, regardless of the log that it followed.
     pub has_same_items: bool,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The number of times that a daemon was added, changed or removed.
+    /// The number of times that a gateway was added, changed or removed.
     pub fn daemon_changes(&self) -> u64 {
         self.daemon_changes
     }
@@ -120,7 +120,7 @@
         true
     }
 
-    /// The number of the last change that the querying daemon has, or 0 if it lacks earlier ones; `None` if it has
+    /// The number of the last change that the querying gateway has, or 0 if it lacks earlier ones; `None` if it has
     /// every item, regardless of the log that it followed.
     pub fn sequence_known_to(&self, query: &SyncQuery) -> Option<u64> {
         if query.content_digest != 0 && query.content_digest == self.content_digest {
@@ -132,7 +132,7 @@
         Some(if knows_enough { query.sequence } else { 0 })
     }
 
-    /// The changes that the querying daemon lacks, as many as `fits` allows, see [`Self::page_after`].
+    /// The changes that the querying gateway lacks, as many as `fits` allows, see [`Self::page_after`].
     pub fn page(&self, query: &SyncQuery, fits: impl FnMut(&Change) -> bool) -> LogPage {
         match self.sequence_known_to(query) {
             Some(after) => self.page_after(after, fits),
@@ -162,7 +162,7 @@
         page
     }
 
-    /// The page for a daemon that has every item.
+    /// The page for a gateway that has every item.
     pub fn empty_page(&self) -> LogPage {
         LogPage {
             changes: Vec::new(),
--- a/crates/gateway/src/peers/configuration.rs
+++ b/crates/gateway/src/peers/configuration.rs
@@ -1,4 +1,4 @@
-//! Transfers the configuration from another daemon if the store has lost it, and asks others at the start which version
+//! Transfers the configuration from another gateway if the store has lost it, and asks others at the start which version
 //! they hold: a store restored from a copy has an older one until the operator writes again.
 
 use std::net::SocketAddr;
@@ -22,15 +22,15 @@
 /// The capacity of the reply queue: the replies to two queries.
 pub(super) const MAX_QUEUED_REPLIES: usize = 2 * MAX_PIECES as usize;
 
-/// The number of daemons that are asked at the start which version they hold.
+/// The number of gateways that are asked at the start which version they hold.
 const MAX_ASKED: usize = 3;
 
-/// How long to wait for their replies: a round trip between zones takes some ten milliseconds, and among daemons that
+/// How long to wait for their replies: a round trip between zones takes some ten milliseconds, and among gateways that
 /// all start at once none waits longer for the others.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The maximum time that requests with keys wait for the replies of others after the configuration was read: joining
-/// the other daemons takes two calls to the store.
+/// the other gateways takes two calls to the store.
 const MAX_CONFIRMATION_WAIT: Duration = Duration::from_millis(250);
 
 /// How long to wait at the start for a newer version that others hold: a failing read of the store takes 1.5 s.
@@ -53,10 +53,10 @@
 
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
-/// Why a transfer of the configuration from another daemon failed.
+/// Why a transfer of the configuration from another gateway failed.
 #[derive(Debug, thiserror::Error)]
 enum TransferError {
-    /// No daemon is known to hold a configuration.
+    /// No gateway is known to hold a configuration.
     #[error("no daemon is known to hold a configuration")]
     NoHolder,
     /// The holder has stopped sending pieces.
@@ -84,12 +84,12 @@
     },
 }
 
-/// Whether other daemons have confirmed at the start which version is the newest.
+/// Whether other gateways have confirmed at the start which version is the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Confirmation {
-    /// A daemon that has run for a while reported its version, or the deployment starts for the first time.
+    /// A gateway that has run for a while reported its version, or the deployment starts for the first time.
     Confirmed,
-    /// None of the `asked` daemons did so.
+    /// None of the `asked` gateways did so.
     Unconfirmed { asked: usize },
 }
 
@@ -107,7 +107,7 @@
     }
 }
 
-/// Asks others at the start which version they hold, then transfers the configuration from another daemon whenever the
+/// Asks others at the start which version they hold, then transfers the configuration from another gateway whenever the
 /// store has lost it.
 pub(super) async fn exchange(
     state: Rc<GatewayState>,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Admits requests with keys after a limited time even if no other daemon has replied.
+/// Admits requests with keys after a limited time even if no other gateway has replied.
 pub async fn limit_confirmation_wait(state: Rc<GatewayState>) {
     state.currency.until_proved().await;
     tokio::time::sleep(MAX_CONFIRMATION_WAIT).await;
@@ -147,7 +147,7 @@
 }
 
 /// Asks some others which version they hold, and waits until one that has run for a while or all of them have replied.
-/// If all start for the first time, no daemon can know more than the store.
+/// If all start for the first time, no gateway can know more than the store.
 async fn confirm_version(
     state: &GatewayState,
     socket: &UdpSocket,
@@ -187,7 +187,7 @@
 }
 
 /// Warns operators that the configuration in force may not be the newest: it was read from a store that may have been
-/// restored from a copy, and no other daemon could confirm it. A newer version ends this condition.
+/// restored from a copy, and no other gateway could confirm it. A newer version ends this condition.
 async fn report_unconfirmed(state: Rc<GatewayState>, asked: usize) {
     state.currency.until_proved().await;
     let position = state.configuration_position.get();
@@ -201,7 +201,7 @@
     state.status.metrics.configuration_unconfirmed.set(1);
 }
 
-/// The addresses of the daemons to ask: the first in rank of the own group, and others in a random rotation.
+/// The addresses of the gateways to ask: the first in rank of the own group, and others in a random rotation.
 fn daemons_to_ask(state: &GatewayState) -> Vec<String> {
     let directory = state.peers.directory();
     let own = &state.peers.own().name;
@@ -218,7 +218,7 @@
     addresses
 }
 
-/// Waits until this daemon holds the newest version that others have reported, or a read has shown that the store has
+/// Waits until this gateway holds the newest version that others have reported, or a read has shown that the store has
 /// lost it.
 async fn wait_for_newest_version(state: &GatewayState) {
     if state.configuration_version() >= state.currency.highest() {
@@ -242,7 +242,7 @@
     }
 }
 
-/// Transfers the configuration from the daemon that reported the highest version.
+/// Transfers the configuration from the gateway that reported the highest version.
 async fn transfer_configuration(
     state: &GatewayState,
     socket: &UdpSocket,
--- a/crates/gateway/src/peers/configuration_message.rs
+++ b/crates/gateway/src/peers/configuration_message.rs
@@ -1,4 +1,4 @@
-//! The datagrams that transfer the configuration from one daemon to another.
+//! The datagrams that transfer the configuration from one gateway to another.
 
 use musli::{Decode, Encode};
 use xxhash_rust::xxh3::xxh3_64;
@@ -31,7 +31,7 @@
     pub nonce: u64,
     /// The version that the sender holds; 0 for none.
     pub version: u64,
-    /// Whether the sender has run long enough to know what other daemons know.
+    /// Whether the sender has run long enough to know what other gateways know.
     pub is_settled: bool,
     /// The digest of the whole document; 0 if only the version was asked for.
     pub digest: u64,
@@ -57,7 +57,7 @@
     xxh3_64(document)
 }
 
-/// The replies of a daemon that holds `configuration` to a query.
+/// The replies of a gateway that holds `configuration` to a query.
 pub fn answers(
     query: &ConfigurationQuery,
     configuration: Option<&Configuration>,
--- a/crates/gateway/src/peers/configuration_pieces.rs
+++ b/crates/gateway/src/peers/configuration_pieces.rs
@@ -4,7 +4,7 @@
 
 use super::configuration_message::{ConfigurationReply, MAX_PIECES, PIECE_BYTES, document_digest};
 
-/// The maximum length of a document from another daemon, in bytes: ten times that of a configuration with 41,000
+/// The maximum length of a document from another gateway, in bytes: ten times that of a configuration with 41,000
 /// tenants (3 MB).
 pub const MAX_DOCUMENT_BYTES: u32 = 32 * 1024 * 1024;
 
--- a/crates/gateway/src/peers/directory.rs
+++ b/crates/gateway/src/peers/directory.rs
@@ -1,7 +1,7 @@
-//! The known daemons, in the order in which they take roles.
+//! The known gateways, in the order in which they take roles.
 //!
-//! All daemons rank each other alike: those with more capacity come first, equal ones by the hash of their names.
-//! Hundreds of daemons are ranked once per change of a daemon, not per datagram.
+//! All gateways rank each other alike: those with more capacity come first, equal ones by the hash of their names.
+//! Hundreds of gateways are ranked once per change of a gateway, not per datagram.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,17 @@
 
 use super::message::WireDaemon;
 
-/// The maximum number of daemons that form a single group regardless of their zones; more are grouped by zone.
+/// The maximum number of gateways that form a single group regardless of their zones; more are grouped by zone.
 const MAX_SINGLE_GROUP: usize = 16;
 
-/// The known daemons.
+/// The known gateways.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Directory {
-    /// The number of daemons, including this one.
+    /// The number of gateways, including this one.
     pub count: usize,
     /// The name of the own group: its zone if there are several groups, otherwise empty.
     pub group_name: String,
-    /// The own group by rank, including this daemon.
+    /// The own group by rank, including this gateway.
     pub group: Vec<WireDaemon>,
     /// The other groups by zone, each by rank.
     pub other_groups: BTreeMap<String, Vec<WireDaemon>>,
@@ -55,13 +55,13 @@
         directory
     }
 
-    /// All daemons, including this one.
+    /// All gateways, including this one.
     pub fn all(&self) -> impl Iterator<Item = &WireDaemon> {
         let others = self.other_groups.values().flatten();
         self.group.iter().chain(others)
     }
 
-    /// The daemons with the highest weights, at most `count`, the highest first.
+    /// The gateways with the highest weights, at most `count`, the highest first.
     pub fn highest(&self, count: usize, weight: impl Fn(&WireDaemon) -> u64) -> Vec<&WireDaemon> {
         let mut highest: Vec<(u64, &WireDaemon)> = Vec::with_capacity(count + 1);
         for daemon in self.all() {
@@ -73,7 +73,7 @@
         highest.into_iter().map(|(_, daemon)| daemon).collect()
     }
 
-    /// The first daemon of every other group, by rank.
+    /// The first gateway of every other group, by rank.
     pub fn first_of_other_groups(&self) -> Vec<WireDaemon> {
         let groups = self.other_groups.values();
         let mut first: Vec<WireDaemon> =
@@ -88,7 +88,7 @@
     rank(one) < rank(other)
 }
 
-/// The digest by which daemons identify each other in reports.
+/// The digest by which gateways identify each other in reports.
 pub fn name_digest(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
--- a/crates/gateway/src/peers/followed_log.rs
+++ b/crates/gateway/src/peers/followed_log.rs
@@ -1,6 +1,6 @@
-//! A daemon's position in the change log of its source.
+//! A gateway's position in the change log of its source.
 //!
-//! What the daemon learns elsewhere, from its own lists of the store or from another daemon, is not in that log, so it
+//! What the gateway learns elsewhere, from its own lists of the store or from another gateway, is not in that log, so it
 //! then restarts from the beginning. If both have the same items by then, as their digests show, nothing is sent.
 
 use std::collections::HashSet;
@@ -28,15 +28,15 @@
         *self = Self::default();
     }
 
-    /// The log id, the last known change and the digest of all items for the next query of a daemon whose items are
+    /// The log id, the last known change and the digest of all items for the next query of a gateway whose items are
     /// `own`.
     pub fn query_fields(&mut self, own: &ChangeLog) -> (u64, u64, u64) {
         self.queried_digest = Some(own.content_digest());
         (self.log_id, self.sequence, own.content_digest())
     }
 
-    /// Whether the reply of a daemon that wasn't followed so far would replace the own view, which is `own_view_age`
-    /// old, with an older one. The own daemon would then use replicas again that it knows to have left: a source that
+    /// Whether the reply of a gateway that wasn't followed so far would replace the own view, which is `own_view_age`
+    /// old, with an older one. This gateway would then use replicas again that it knows to have left: a source that
     /// was cut off may relay what others reported earlier. A source with the same items is not older, whatever the age
     /// of its proof.
     pub fn has_older_view(&self, answer: &SyncReply, own_view_age: Option<Duration>) -> bool {
@@ -52,7 +52,7 @@
         self.is_complete
     }
 
-    /// Applies a reply; returns the resulting changes to the items `own` of this daemon.
+    /// Applies a reply; returns the resulting changes to the items `own` of this gateway.
     pub fn apply(&mut self, answer: &SyncReply, own: &ChangeLog) -> Vec<Change> {
         self.is_complete = false;
         if answer.has_same_items {
--- a/crates/gateway/src/peers/known.rs
+++ b/crates/gateway/src/peers/known.rs
@@ -1,4 +1,4 @@
-//! The state shared by the tasks that synchronize this daemon with its peers.
+//! The state shared by the tasks that synchronize this gateway with its peers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,43 +27,43 @@
 pub const MAX_PROMPTS: usize = 18;
 
 /// The number of seeds that are queried before the store. One that doesn't reply takes 0.65 s and is then skipped for
-/// 2.5 s, so all of them have failed before the first one's turn comes again, and this daemon reads the store.
+/// 2.5 s, so all of them have failed before the first one's turn comes again, and this gateway reads the store.
 const MAX_SEEDS: usize = 3;
 
-/// How long a daemon that has just started waits for all replicas from its source before it lists them itself: as long
+/// How long a gateway that has just started waits for all replicas from its source before it lists them itself: as long
 /// as others wait for a reader without a view.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1300);
 
 /// The interval at which it checks whether the source has sent them.
 const FIRST_LIST_POLL: Duration = Duration::from_millis(20);
 
-/// The state shared by the tasks that synchronize this daemon with its peers.
+/// The state shared by the tasks that synchronize this gateway with its peers.
 #[derive(Debug)]
 pub struct Peers {
-    /// The known replicas and daemons.
+    /// The known replicas and gateways.
     pub log: RefCell<ChangeLog>,
     /// Cached pages of [`Peers::log`] in the packed form.
     pub(super) packed_pages: RefCell<PackedPages>,
     /// Wakes the task that sends changes to others.
     pub outbox_changed: Notify,
-    /// Whether this daemon reads the store itself.
+    /// Whether this gateway reads the store itself.
     pub is_reader: Cell<bool>,
-    /// Whether this daemon is one of those that may call the store on their own account; true for a daemon that has
+    /// Whether this gateway is one of those that may call the store on their own account; true for a gateway that has
     /// just started until it has chosen a source.
     pub may_read: Cell<bool>,
     /// Wakes the tasks that wait for a change of [`Peers::is_reader`].
     pub reader_changed: Notify,
-    /// Whether this daemon leads its group: those ahead of it in rank don't reply.
+    /// Whether this gateway leads its group: those ahead of it in rank don't reply.
     pub is_leader: Cell<bool>,
     /// Wakes the tasks that wait for a change of [`Peers::is_leader`].
     pub(super) leader_changed: Notify,
-    /// The address of the daemon that this one queries; none if it reads the store itself.
+    /// The address of the gateway that this one queries; none if it reads the store itself.
     pub(super) source: RefCell<Option<String>>,
-    /// The address of the group's leader, if that is another daemon.
+    /// The address of the group's leader, if that is another gateway.
     pub(super) leader: RefCell<Option<String>>,
     /// The receivers in other groups.
     pub(super) relays: Relays,
-    /// The ranked daemons, and the count of daemon changes for which they were ranked.
+    /// The ranked gateways, and the count of gateway changes for which they were ranked.
     directory: RefCell<Option<(u64, Rc<Directory>)>>,
     has_all_daemons: Cell<bool>,
     rotation: Cell<u32>,
@@ -71,14 +71,14 @@
     pub(super) cached_news: RefCell<Vec<CacheUpdate>>,
     /// Wakes the task that sends them.
     pub(super) cached_news_added: Notify,
-    /// Whether this daemon, as the reader, watches the replicas in the store.
+    /// Whether this gateway, as the reader, watches the replicas in the store.
     pub follows_replicas: Cell<bool>,
     pub(super) view: View,
     pub(super) reader_since: Cell<Duration>,
     pub(super) seeds: Vec<WireDaemon>,
     pub(super) own: WireDaemon,
     pub(super) followers: RefCell<HashMap<SocketAddr, Instant>>,
-    /// When each querying daemon was last sent the notices of replicas.
+    /// When each querying gateway was last sent the notices of replicas.
     pub(super) reminded_at: RefCell<HashMap<SocketAddr, Instant>>,
     pub(super) followed: RefCell<FollowedLog>,
     pub(super) nonce: Cell<u64>,
@@ -92,12 +92,12 @@
     has_chosen_source: Cell<bool>,
     /// Wakes the task that waits for the first choice.
     source_chosen: Notify,
-    /// The highest version of the configuration that another daemon has reported, and the last daemon that reported it.
+    /// The highest version of the configuration that another gateway has reported, and the last gateway that reported it.
     configuration_holder: Cell<Option<(u64, SocketAddr)>>,
 }
 
 impl Peers {
-    /// The state of the daemon `own`; `incarnation` differs from that of every other start.
+    /// The state of the gateway `own`; `incarnation` differs from that of every other start.
     pub fn new(own: WireDaemon, seeds: Vec<WireDaemon>, incarnation: u64) -> Self {
         Self {
             log: RefCell::new(ChangeLog::new(incarnation)),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Records that the daemon at `holder` has this version of the configuration.
+    /// Records that the gateway at `holder` has this version of the configuration.
     pub(super) fn record_configuration_holder(&self, version: u64, holder: SocketAddr) {
         let known = self.configuration_holder.get();
         if version > 0 && known.is_none_or(|(known, _)| known <= version) {
@@ -145,17 +145,17 @@
         }
     }
 
-    /// The daemon that last reported the highest version of the configuration.
+    /// The gateway that last reported the highest version of the configuration.
     pub(super) fn configuration_holder(&self) -> Option<SocketAddr> {
         self.configuration_holder.get().map(|(_, holder)| holder)
     }
 
-    /// This daemon.
+    /// This gateway.
     pub fn own(&self) -> &WireDaemon {
         &self.own
     }
 
-    /// The known daemons, ranked again only if they have changed.
+    /// The known gateways, ranked again only if they have changed.
     pub fn directory(&self) -> Rc<Directory> {
         let log = self.log.borrow();
         let changes = log.daemon_changes();
@@ -174,7 +174,7 @@
             .unwrap_or_default()
     }
 
-    /// The daemons that may be queried: the own group, or the first seeds until all daemons are known.
+    /// The gateways that may be queried: the own group, or the first seeds until all gateways are known.
     pub(super) fn group(&self, directory: &Directory) -> Vec<WireDaemon> {
         if self.has_all_daemons.get() || self.seeds.is_empty() {
             return directory.group.clone();
@@ -183,18 +183,18 @@
         seeds.chain([&self.own]).cloned().collect()
     }
 
-    /// Records that all daemons are known that another daemon or the store lists. Before that, ranks are meaningless:
-    /// some of the known daemons may know less than this one.
+    /// Records that all gateways are known that another gateway or the store lists. Before that, ranks are meaningless:
+    /// some of the known gateways may know less than this one.
     pub fn set_daemons_known(&self) {
         self.has_all_daemons.set(true);
     }
 
-    /// Whether every daemon is known, see [`Peers::set_daemons_known`].
+    /// Whether every gateway is known, see [`Peers::set_daemons_known`].
     pub fn are_daemons_known(&self) -> bool {
         self.has_all_daemons.get()
     }
 
-    /// The rank of this daemon in its group; 0 is the first.
+    /// The rank of this gateway in its group; 0 is the first.
     pub fn rank(&self) -> u32 {
         let directory = self.directory();
         let position = directory
@@ -206,7 +206,7 @@
             .unwrap_or(0)
     }
 
-    /// Records that the known state was in the store at `moment`, read by this daemon.
+    /// Records that the known state was in the store at `moment`, read by this gateway.
     pub fn prove_view(&self, moment: Instant) {
         let own = self.log.borrow().id();
         self.view.prove(moment, Some(own), Instant::now());
@@ -232,7 +232,7 @@
         self.view.keep_until(now, in_touch_at)
     }
 
-    /// Waits until this daemon has to read the store itself.
+    /// Waits until this gateway has to read the store itself.
     pub async fn wait_until_reader(&self) {
         while !self.is_reader.get() {
             self.reader_changed.notified().await;
@@ -244,14 +244,14 @@
         self.ask_now.notify_one();
     }
 
-    /// Waits until another daemon reads the store for this one.
+    /// Waits until another gateway reads the store for this one.
     pub async fn wait_until_follower(&self) {
         while self.is_reader.get() {
             self.reader_changed.notified().await;
         }
     }
 
-    /// Records whether this daemon may read the store for its group, after a source has been chosen.
+    /// Records whether this gateway may read the store for its group, after a source has been chosen.
     pub(super) fn set_may_read(&self, may_read: bool) {
         self.may_read.set(may_read);
         if !self.has_chosen_source.replace(true) {
@@ -259,8 +259,8 @@
         }
     }
 
-    /// Whether this daemon, which has just started, must list the replicas itself: it may read the store for its group,
-    /// or its source has not sent all of them in time. The lists of hundreds of daemons that start together would fill
+    /// Whether this gateway, which has just started, must list the replicas itself: it may read the store for its group,
+    /// or its source has not sent all of them in time. The lists of hundreds of gateways that start together would fill
     /// the store's link, and those of the readers would queue behind them.
     pub async fn must_list_at_start(&self) -> bool {
         while !self.has_chosen_source.get() {
@@ -278,14 +278,14 @@
         result.is_err()
     }
 
-    /// Waits until this daemon leads its group.
+    /// Waits until this gateway leads its group.
     pub async fn wait_until_leader(&self) {
         while !self.is_leader.get() {
             self.leader_changed.notified().await;
         }
     }
 
-    /// The address of the daemon that this one queries; none if it reads the store itself.
+    /// The address of the gateway that this one queries; none if it reads the store itself.
     pub fn source_address(&self) -> Option<String> {
         self.source.borrow().clone()
     }
@@ -297,7 +297,7 @@
         rotation
     }
 
-    /// Records which daemon leads the group.
+    /// Records which gateway leads the group.
     pub(super) fn set_leader(&self, leader: Option<&WireDaemon>) {
         let is_leader = leader.is_some_and(|leader| leader.name == self.own.name);
         let other = leader.filter(|_| !is_leader);
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Sends to the group what this daemon has learned of a prompt-cache store.
+    /// Sends to the group what this gateway has learned of a prompt-cache store.
     pub fn announce_cached(&self, news: CacheUpdate) {
         if news.is_known && !news.is_from_start && news.changes.is_empty() {
             return;
@@ -324,7 +324,7 @@
         nonce
     }
 
-    /// Reports the state of a replica's weight load to every daemon.
+    /// Reports the state of a replica's weight load to every gateway.
     pub fn report_load_status(&self, status: LoadStatus) {
         self.load_statuses.borrow_mut().push(status);
         self.outbox_changed.notify_one();
@@ -344,19 +344,19 @@
         }
     }
 
-    /// Restarts the transfer from the source's change log, after this daemon has learned of replicas or daemons
+    /// Restarts the transfer from the source's change log, after this gateway has learned of replicas or gateways
     /// elsewhere.
     pub fn reset_followed_log(&self) {
         self.followed.borrow_mut().reset();
     }
 
-    /// Announces to every daemon that the store answers again.
+    /// Announces to every gateway that the store answers again.
     pub fn announce_store(&self) {
         self.must_announce_store.set(true);
         self.outbox_changed.notify_one();
     }
 
-    /// Notifies the daemons that query this one of changes.
+    /// Notifies the gateways that query this one of changes.
     pub fn announce_changes(&self) {
         self.must_announce_changes.set(true);
         self.outbox_changed.notify_one();
--- a/crates/gateway/src/peers/message.rs
+++ b/crates/gateway/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams that daemons exchange, in musli's `wire` encoding, which tolerates added fields.
+//! The datagrams that gateways exchange, in musli's `wire` encoding, which tolerates added fields.
 
 use musli::{Decode, Encode};
 use xxhash_rust::xxh3::xxh3_64;
@@ -15,16 +15,16 @@
 /// The size of the receive buffer, in bytes.
 pub const RECEIVE_BUFFER_BYTES: usize = 2048;
 
-/// A datagram between daemons.
+/// A datagram between gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Message {
-    /// Asks for the configuration version, weights and lease in force and for changed replicas and daemons.
+    /// Asks for the configuration version, weights and lease in force and for changed replicas and gateways.
     SyncQuery(SyncQuery),
     /// The reply to [`Message::SyncQuery`].
     SyncReply(Box<SyncReply>),
     /// The sender has changes: the receiver should send its next query now.
     ChangesAvailable,
-    /// A daemon of another group has found that the store answers again after an outage.
+    /// A gateway of another group has found that the store answers again after an outage.
     StoreRecovered,
     /// Reports the state of a replica's weight load to another group.
     LoadStatus(LoadStatus),
@@ -32,7 +32,7 @@
     Prompts(Vec<WirePrompt>),
     /// Prompts that the sender dispatched, for its group's leader, which forwards them to all members.
     PromptsForLeader(Vec<WirePrompt>),
-    /// Prompts that daemons of another group dispatched to replicas.
+    /// Prompts that gateways of another group dispatched to replicas.
     OtherGroupPrompts(OtherGroupPrompts),
     /// A report for every member of a group, forwarded from member to member.
     Spread(Spread),
@@ -44,9 +44,9 @@
     Usage(WireUsage),
     /// Tenants' usage in a group, from its leader to the leader of another group.
     GroupUsage(WireGroupUsage),
-    /// Replicas that terminated with requests of the sender open, for the daemons that keep these requests' records.
+    /// Replicas that terminated with requests of the sender open, for the gateways that keep these requests' records.
     Strikes(Vec<WireStrike>),
-    /// Fingerprints of requests that completed at the sender, for the daemons that keep their records.
+    /// Fingerprints of requests that completed at the sender, for the gateways that keep their records.
     Cleared(Vec<u128>),
     /// Quarantine records: from another group and to be forwarded to the own one, or for the receiver alone.
     Records(WireRecords),
@@ -109,12 +109,12 @@
     pub admitted_before: u64,
 }
 
-/// Tenants' usage at one daemon; tenants without recent changes are left out.
+/// Tenants' usage at one gateway; tenants without recent changes are left out.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireUsage {
-    /// The digest of the daemon's name.
+    /// The digest of the gateway's name.
     pub daemon: u64,
-    /// The daemon's incarnation.
+    /// The gateway's incarnation.
     pub incarnation: u64,
     /// The totals.
     pub totals: Vec<WireTotals>,
@@ -167,7 +167,7 @@
     pub accepts_packed: bool,
 }
 
-/// The sender's state and the changes that the querying daemon lacks.
+/// The sender's state and the changes that the querying gateway lacks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct SyncReply {
     /// The nonce of the query.
@@ -196,10 +196,10 @@
     pub has_more: bool,
     /// The changes, in order.
     pub changes: Vec<Change>,
-    /// Whether the querying daemon already has all items of this log, judging by its digest.
+    /// Whether the querying gateway already has all items of this log, judging by its digest.
     #[musli(default)]
     pub has_same_items: bool,
-    /// How long ago the store was last known to be down for all daemons, in milliseconds.
+    /// How long ago the store was last known to be down for all gateways, in milliseconds.
     #[musli(default)]
     pub store_down_age_ms: Option<u64>,
     /// As [`SyncQuery::quarantine_digest`].
@@ -222,7 +222,7 @@
     /// Weights that may be wanted, see [`crate::suspected_weights`].
     #[musli(Binary, name = 20, default)]
     pub suspected_weights: Vec<WireWeights>,
-    /// The log id of the daemon whose read of the store [`SyncReply::view_age_ms`] is counted from; none if it is
+    /// The log id of the gateway whose read of the store [`SyncReply::view_age_ms`] is counted from; none if it is
     /// unknown.
     #[musli(Binary, name = 21, default)]
     pub view_reader_log: Option<u64>,
@@ -311,16 +311,16 @@
 pub enum ItemKey {
     /// A replica, by id.
     Replica(String),
-    /// A daemon, by name.
+    /// A gateway, by name.
     Daemon(String),
 }
 
-/// A replica or daemon that daemons know of.
+/// A known replica or gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Item {
     /// A replica.
     Replica(WireReplica),
-    /// A daemon.
+    /// A gateway.
     Daemon(WireDaemon),
 }
 
@@ -391,7 +391,7 @@
     }
 }
 
-/// A daemon.
+/// A gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct WireDaemon {
     /// The name.
@@ -401,7 +401,7 @@
     /// The zone.
     pub zone: String,
     /// The capacity of its machine: the smaller of its processor in thousandths of a core and its link in megabits a
-    /// second. Daemons with more capacity rank first and take the roles that others rely on.
+    /// second. Gateways with more capacity rank first and take the roles that others rely on.
     #[musli(default)]
     pub capacity: u32,
 }
@@ -418,12 +418,12 @@
     pub tokens: u64,
     /// The keys of the prompt's shared prefixes, see [`crate::cache::PrefixKey`].
     pub prefixes: Vec<u64>,
-    /// A short digest of the sending daemon's name, by which that daemon recognizes its own reports.
+    /// A short digest of the sending gateway's name, by which that gateway recognizes its own reports.
     #[musli(default)]
     pub sender: u32,
 }
 
-/// Prompts that daemons of one group dispatched, for another group.
+/// Prompts that gateways of one group dispatched, for another group.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct OtherGroupPrompts {
     /// The prompts.
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,26 +1,26 @@
-//! How daemons synchronize with each other, so that few of them read the store.
+//! How gateways synchronize with each other, so that few of them read the store.
 //!
-//! In each group of daemons the first in rank reads the store: it is the group's *reader*. The others query it twice a
-//! second for what is in force, for the age of its proof of that, and for what has changed. A daemon whose source
+//! In each group of gateways the first in rank reads the store: it is the group's *reader*. The others query it twice a
+//! second for what is in force, for the age of its proof of that, and for what has changed. A gateway whose source
 //! doesn't answer or has no recent view queries the next in rank, and reads the store itself once nobody is left ahead
-//! of it. No election takes place, and a daemon that the store refuses is served by the others.
+//! of it. No election takes place, and a gateway that the store refuses is served by the others.
 //!
 //! The age of a relayed proof is counted from the moment at which the query was *sent*: time in a queue or in a
 //! suspended process can only make the proof look older than it is.
 //!
 //! - [`message`]: the datagrams.
-//! - [`change_log`]: replicas and daemons in the order of their changes, so that only changes are sent.
+//! - [`change_log`]: replicas and gateways in the order of their changes, so that only changes are sent.
 //! - [`packed`]: the compact form of replicas in a page of changes; [`bit_rows`]: the packing of its rows;
 //!   [`packed_pages`]: a cache of packed pages.
-//! - [`followed_log`]: a daemon's position in the change log of its source.
-//! - [`directory`]: the known daemons by rank; [`relays`]: the receivers in other groups.
+//! - [`followed_log`]: a gateway's position in the change log of its source.
+//! - [`directory`]: the known gateways by rank; [`relays`]: the receivers in other groups.
 //! - [`spread`]: forwards reports from member to member.
-//! - [`source`]: chooses the daemon to query.
+//! - [`source`]: chooses the gateway to query.
 //! - [`view`]: how recent the known state is.
 //! - [`known`]: the state shared by the tasks of this module.
 //! - [`prompt_relay`]: reports dispatched prompts between groups.
 //! - [`cached`]: the contents of prompt-cache stores.
-//! - `configuration`: transfers the configuration from another daemon if the store has lost it, and asks others at the
+//! - `configuration`: transfers the configuration from another gateway if the store has lost it, and asks others at the
 //!   start which version they hold; [`configuration_message`]: its datagrams; [`configuration_pieces`]: assembles the
 //!   document.
 //! - `notices`: limits and leave notices of replicas; `permits`: permits to send to replicas with limits;
--- a/crates/gateway/src/peers/news.rs
+++ b/crates/gateway/src/peers/news.rs
@@ -1,4 +1,4 @@
-//! Sends changes to other daemons without a query.
+//! Sends changes to other gateways without a query.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use super::spread::spread;
 use crate::state::GatewayState;
 
-/// How long after its last query a daemon is notified of changes.
+/// How long after its last query a gateway is notified of changes.
 const FOLLOWER_RETENTION: Duration = Duration::from_millis(1600);
 
 /// How long changes are batched.
@@ -52,7 +52,7 @@
     followers.keys().copied().collect()
 }
 
-/// Reports this daemon's own prompts to the group: directly if it is small, otherwise through its leader.
+/// Reports this gateway's own prompts to the group: directly if it is small, otherwise through its leader.
 async fn send_prompts(state: &GatewayState, socket: &tokio::net::UdpSocket) {
     let prompts = std::mem::take(&mut *state.peers.prompts.borrow_mut());
     if prompts.is_empty() {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Sends a message to one daemon of each other group, which forwards it.
+/// Sends a message to one gateway of each other group, which forwards it.
 pub(super) async fn send_to_other_groups(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
--- a/crates/gateway/src/peers/notice_message.rs
+++ b/crates/gateway/src/peers/notice_message.rs
@@ -56,7 +56,7 @@
 pub struct WirePermitReply {
     /// The nonce of the query.
     pub nonce: u64,
-    /// The digest of the replying daemon's name.
+    /// The digest of the replying gateway's name.
     pub daemon: u64,
     /// Whether a request may be sent now.
     pub is_granted: bool,
--- a/crates/gateway/src/peers/notices.rs
+++ b/crates/gateway/src/peers/notices.rs
@@ -1,4 +1,4 @@
-//! Distributes the limits and leave notices of replicas ([`crate::notices`]) to all daemons, so that a daemon knows a
+//! Distributes the limits and leave notices of replicas ([`crate::notices`]) to all gateways, so that a gateway knows a
 //! replica's limit before it sends the first request there.
 
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 /// How long notices are batched: overloaded replicas tend to announce limits at the same time.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// The time between two reminders to the same daemon: a lost datagram costs one request of each daemon that missed it.
+/// The time between two reminders to the same gateway: a lost datagram costs one request of each gateway that missed it.
 const REMINDER_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The number of replicas in a reminder, a different selection each time.
@@ -58,7 +58,7 @@
     state.notice_survey.replicas(&state.registry, metrics)
 }
 
-/// Sends the known notices to a querying daemon, at once for a new one and then every few seconds: it may have just
+/// Sends the known notices to a querying gateway, at once for a new one and then every few seconds: it may have just
 /// started, and datagrams get lost.
 pub(super) async fn remind(state: &GatewayState, socket: &tokio::net::UdpSocket, to: SocketAddr) {
     let surveyed = survey(state);
@@ -108,7 +108,7 @@
     }
 }
 
-/// Applies notices that other daemons got from replicas.
+/// Applies notices that other gateways got from replicas.
 pub(super) fn apply(state: &GatewayState, notices: &[WireNotice]) {
     let now = Instant::now();
     let ago = |age_ms: u64| {
--- a/crates/gateway/src/peers/packed.rs
+++ b/crates/gateway/src/peers/packed.rs
@@ -1,7 +1,7 @@
 //! A compact form of the replicas in a page of changes, in which common properties are stored once.
 //!
-//! After all daemons of a large group were killed, its reader sends all replicas to each member over one link with one
-//! processor, and nothing is served before: the plain form of 3,300 replicas takes 311 kB. Daemons of an earlier
+//! After all gateways of a large group were killed, its reader sends all replicas to each member over one link with one
+//! processor, and nothing is served before: the plain form of 3,300 replicas takes 311 kB. Gateways of an earlier
 //! version don't request the packed form ([`super::message::SyncQuery::accepts_packed`]) and get the plain one.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
--- a/crates/gateway/src/peers/packed_pages.rs
+++ b/crates/gateway/src/peers/packed_pages.rs
@@ -1,6 +1,6 @@
-//! A cache of packed pages of changes, each built once for all daemons that query it.
+//! A cache of packed pages of changes, each built once for all gateways that query it.
 //!
-//! After all daemons of a large group were killed, each member queries the same pages: building them for each member
+//! After all gateways of a large group were killed, each member queries the same pages: building them for each member
 //! would keep the reader's processor busy for longer than its link.
 
 use std::collections::HashMap;
@@ -34,7 +34,7 @@
 }
 
 impl PackedPages {
-    /// The page of `log` for the query, or `None` if the querying daemon already has every item.
+    /// The page of `log` for the query, or `None` if the querying gateway already has every item.
     pub fn page(&mut self, log: &ChangeLog, query: &SyncQuery) -> Option<Rc<PackedPage>> {
         let after = log.sequence_known_to(query)?;
         if (self.log_id, self.sequence) != (log.id(), log.sequence()) {
--- a/crates/gateway/src/peers/prompt_relay.rs
+++ b/crates/gateway/src/peers/prompt_relay.rs
@@ -1,6 +1,6 @@
-//! Reports dispatched prompts between groups of daemons.
+//! Reports dispatched prompts between groups of gateways.
 //!
-//! Every daemon reports its prompts to its group. Between groups that would take too many datagrams, so the leader of
+//! Every gateway reports its prompts to its group. Between groups that would take too many datagrams, so the leader of
 //! each group acts as its relay: it sends the prompts of its group in batches to the relays of the other groups, which
 //! forward them to their members. The only cost of a lost batch is that prompts are prefilled again.
 
@@ -45,12 +45,12 @@
 }
 
 impl PromptRelay {
-    /// Records whether this daemon is the relay of its group.
+    /// Records whether this gateway is the relay of its group.
     pub fn set_relay(&self, is_relay: bool) {
         self.is_relay.set(is_relay);
     }
 
-    /// Adds a prompt of the own group to the next batch, if this daemon is the relay.
+    /// Adds a prompt of the own group to the next batch, if this gateway is the relay.
     pub fn gather(&self, prompt: &WirePrompt) {
         if self.is_relay.get() && prompt.tokens >= MIN_REPORTED_TOKENS {
             self.push(&self.outgoing, prompt);
--- a/crates/gateway/src/peers/records.rs
+++ b/crates/gateway/src/peers/records.rs
@@ -1,8 +1,8 @@
 //! Exchanges records of requests that terminate replicas ([`crate::quarantine`]).
 //!
-//! Strikes go to the few daemons that keep a request's record. What all daemons need goes through the tree of each
-//! group, and to one daemon of every other group. A daemon that missed it learns of it with the next query or reply:
-//! both have a digest of the known records, and a daemon whose digest differs sends its records.
+//! Strikes go to the few gateways that keep a request's record. What all gateways need goes through the tree of each
+//! group, and to one gateway of every other group. A gateway that missed it learns of it with the next query or reply:
+//! both have a digest of the known records, and a gateway whose digest differs sends its records.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 /// The number of records in a datagram: each takes up to 560 bytes.
 const MAX_RECORDS: usize = 2;
 
-/// The number of records that are sent at once to a daemon with another digest; the rest follows after its next query.
+/// The number of records that are sent at once to a gateway with another digest; the rest follows after its next query.
 const MAX_RECONCILED: usize = 60;
 
 /// Sends strikes, clearances and records in an endless loop.
@@ -57,7 +57,7 @@
     }
 }
 
-/// Sends strikes, and the fingerprints of completed requests, to the daemons that keep the records.
+/// Sends strikes, and the fingerprints of completed requests, to the gateways that keep the records.
 async fn send_to_homes(state: &GatewayState, socket: &tokio::net::UdpSocket, outbox: &Outbox) {
     let now = state.quarantine.now();
     let strikes = outbox.strikes.iter().map(|(fingerprint, strike)| {
@@ -83,7 +83,7 @@
     }
 }
 
-/// The items for each daemon, by address, without those for this daemon.
+/// The items for each gateway, by address, without those for this gateway.
 fn by_home<T: Clone>(
     state: &GatewayState,
     items: impl Iterator<Item = (Fingerprint, T)>,
@@ -114,14 +114,14 @@
     spread(state, socket, Report::Records(records.to_vec())).await;
 }
 
-/// Sends the known records to a daemon with another digest.
+/// Sends the known records to a gateway with another digest.
 pub(super) async fn reconcile(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
     their_digest: Option<u64>,
     to: SocketAddr,
 ) {
-    // A daemon of an earlier version sends no digest, and keeps no records.
+    // A gateway of an earlier version sends no digest, and keeps no records.
     if their_digest.is_none_or(|theirs| theirs == digest(state)) {
         return;
     }
@@ -155,7 +155,7 @@
 }
 
 /// Applies strikes. Strikes that were queued while this process was suspended are dropped as if lost: it is unknown
-/// when their replicas terminated, and these would seem to have terminated together. The other daemons that keep the
+/// when their replicas terminated, and these would seem to have terminated together. The other gateways that keep the
 /// record have them, and send the record.
 pub(super) fn apply_strikes(state: &GatewayState, strikes: &[WireStrike]) {
     if standstill::has_just_woken() {
@@ -266,7 +266,7 @@
     }
 }
 
-/// The store position of a record according to another daemon.
+/// The store position of a record according to another gateway.
 fn stored_position(wire_record: &WireRecord) -> Option<StorePosition> {
     let position = StorePosition {
         era: StoreEra::from_number(wire_record.stored_era),
--- a/crates/gateway/src/peers/relays.rs
+++ b/crates/gateway/src/peers/relays.rs
@@ -1,6 +1,6 @@
-//! Chooses the daemon of each other group that receives messages for the group.
+//! Chooses the gateway of each other group that receives messages for the group.
 //!
-//! The daemon of another group that sent the last report is its leader. If none did for a while, the first few in rank
+//! The gateway of another group that sent the last report is its leader. If none did for a while, the first few in rank
 //! are tried in turn: the first may be gone for good, and only its own group would find out.
 
 use std::cell::RefCell;
--- a/crates/gateway/src/peers/send.rs
+++ b/crates/gateway/src/peers/send.rs
@@ -1,11 +1,11 @@
-//! Sends datagrams to other daemons.
+//! Sends datagrams to other gateways.
 
 use std::net::SocketAddr;
 
 use super::message::Message;
 use crate::state::GatewayState;
 
-/// Sends to every other daemon of the own group.
+/// Sends to every other gateway of the own group.
 pub(super) async fn send_to_group(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
--- a/crates/gateway/src/peers/source.rs
+++ b/crates/gateway/src/peers/source.rs
@@ -1,11 +1,11 @@
-//! Chooses the daemon to query: the first in rank of the own group that replies with a recent view.
+//! Chooses the gateway to query: the first in rank of the own group that replies with a recent view.
 //!
-//! If there are several groups, only the first few daemons of each may read the store. During a complete outage of the
+//! If there are several groups, only the first few gateways of each may read the store. During a complete outage of the
 //! store each reader calls it again and again, and lists all its contents once it is back; the other members wait for
 //! the readers. If the store refuses these few, they query the first of the other groups.
 //!
-//! Groups are ranked like daemons, by their first member. The daemon that would read the store for its group queries
-//! the first of the groups ahead of it, so one daemon reads for all, and the number of calls to the store doesn't grow
+//! Groups are ranked like gateways, by their first member. The gateway that would read the store for its group queries
+//! the first of the groups ahead of it, so one gateway reads for all, and the number of calls to the store doesn't grow
 //! with the number of groups.
 //!
 //! This module reads no clock: times are durations since a fixed moment of a monotonic clock.
@@ -19,60 +19,60 @@
 /// How long a source is skipped after it didn't reply or had no recent view.
 const SKIP_PERIOD: Duration = Duration::from_millis(2500);
 
-/// The same if the source had no recent view and only a few daemons may read the store, or if its view was older than
-/// that of this daemon: it may have a newer one within a moment. Shorter than the time between two rounds of queries,
+/// The same if the source had no recent view and only a few gateways may read the store, or if its view was older than
+/// that of this gateway: it may have a newer one within a moment. Shorter than the time between two rounds of queries,
 /// so that each round includes it.
 const SHORT_SKIP_PERIOD: Duration = Duration::from_millis(400);
 
 /// The number of consecutive queries without a reply after which a source is skipped.
 const MAX_UNANSWERED: u32 = 2;
 
-/// How long a daemon that replies without having any view remains one of the few readers: it may have just started and
+/// How long a gateway that replies without having any view remains one of the few readers: it may have just started and
 /// be listing the replicas. As long as it itself reads the store without success before it queries others.
 const STARTING_TIMEOUT: Duration = STORE_READ_TIMEOUT;
 
-/// How long a daemon reads the store without success before it queries others.
+/// How long a gateway reads the store without success before it queries others.
 const STORE_READ_TIMEOUT: Duration = Duration::from_millis(1300);
 
 /// How long it is remembered that a source had no recent view.
 const STALE_RETENTION: Duration = Duration::from_millis(4000);
 
-/// The number of other daemons without a recent view that it takes to consider the store down for all.
+/// The number of other gateways without a recent view that it takes to consider the store down for all.
 const MIN_STALE_PEERS: usize = 2;
 
-/// The number of daemons of a group that may read the store if there are other groups to query. In an outage in which
+/// The number of gateways of a group that may read the store if there are other groups to query. In an outage in which
 /// the store refuses a third of all machines, the probability that it refuses all four of a group is one in 80.
 const MAX_READERS: usize = 4;
 
-/// The maximum age of a source's view. A draining replica may get requests for 2 s (`drainMs`); a daemon whose source
+/// The maximum age of a source's view. A draining replica may get requests for 2 s (`drainMs`); a gateway whose source
 /// is cut off needs up to 0.4 s more to find that out if others don't reply either, and the time for a list. A working
 /// source proves its view every 0.9 s, or every 1.4 s if each answer of the store takes 0.24 s.
 const MAX_VIEW_AGE: Duration = Duration::from_millis(1400);
 
-/// The same if only a few daemons may read the store: the others learn one round of queries later than the next reader
+/// The same if only a few gateways may read the store: the others learn one round of queries later than the next reader
 /// that a reader is cut off, and a draining replica may get requests for 3 s.
 const MAX_VIEW_AGE_WITH_GROUPS: Duration = Duration::from_millis(1700);
 
-/// The age of the own view from which the store may be considered down for all. By then the daemons that queried this
+/// The age of the own view from which the store may be considered down for all. By then the gateways that queried this
 /// one have read the store themselves, if it answers them; before, they only know what they learned from this one.
 const MIN_OUTAGE_VIEW_AGE: Duration = Duration::from_millis(2500);
 
-/// The minimum time for which a daemon reads the store after its view had become too old. When it starts reading it
+/// The minimum time for which a gateway reads the store after its view had become too old. When it starts reading it
 /// lists everything; the source that it could follow has trouble, and it would soon have to list everything again.
 /// Reading every 0.9 s for this time costs as much as listing six kinds of objects.
 const MIN_READING_TIME: Duration = Duration::from_secs(5);
 
-/// Where a daemon learns the state in force.
+/// Where a gateway learns the state in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
-    /// The daemon reads the store itself.
+    /// The gateway reads the store itself.
     Store,
-    /// The daemon queries this other daemon.
+    /// The gateway queries this other gateway.
     Daemon(WireDaemon),
 }
 
 impl Source {
-    /// The address of the queried daemon.
+    /// The address of the queried gateway.
     pub fn address(&self) -> Option<String> {
         match self {
             Self::Store => None,
@@ -84,20 +84,20 @@
 /// Chooses the source from the outcomes of earlier queries.
 #[derive(Debug, Default)]
 pub struct SourceChooser {
-    /// Daemons that did not reply when they were last queried.
+    /// Gateways that did not reply when they were last queried.
     silent: HashSet<String>,
     skipped_until: HashMap<String, Duration>,
     unanswered_count: u32,
     current: Option<String>,
     stale_at: HashMap<String, Duration>,
-    /// Since when a daemon has replied that it has no view yet.
+    /// Since when a gateway has replied that it has no view yet.
     starting_since: HashMap<String, Duration>,
     store_failed_at: Option<Duration>,
     is_last_resort: bool,
     is_store_next: bool,
-    /// Until when this daemon reads the store, even if another daemon could be queried.
+    /// Until when this gateway reads the store, even if another gateway could be queried.
     reads_store_until: Duration,
-    /// The other daemons that could be queried when the source was last chosen.
+    /// The other gateways that could be queried when the source was last chosen.
     other_candidates: Vec<String>,
     may_read: bool,
     has_other_groups: bool,
@@ -152,7 +152,7 @@
         source
     }
 
-    /// Records whether this daemon has just started and needs all replicas, perhaps together with its whole group: it
+    /// Records whether this gateway has just started and needs all replicas, perhaps together with its whole group: it
     /// then queries any of the first readers whose machines have the same capacity as the first one's.
     pub fn set_just_started(&mut self, has_just_started: bool) {
         self.has_just_started = has_just_started;
@@ -167,12 +167,12 @@
     }
 
     /// Records a query without a usable reply, and the age of the own view. If that is too old by now, the store is
-    /// read next, provided that this daemon may call it: any further daemon might not reply either.
+    /// read next, provided that this gateway may call it: any further gateway might not reply either.
     pub fn on_unusable_reply(&mut self, own_view_age: Option<Duration>) {
         self.is_store_next = own_view_age.is_some_and(|age| age > self.max_view_age());
     }
 
-    /// The daemons of `group` that may read the store: the first in rank that reply.
+    /// The gateways of `group` that may read the store: the first in rank that reply.
     fn readers<'a>(&self, group: &'a [WireDaemon], has_other_groups: bool) -> Vec<&'a WireDaemon> {
         let max = match has_other_groups {
             true => MAX_READERS,
@@ -185,7 +185,7 @@
         answering.take(max).collect()
     }
 
-    /// The first daemon of the groups ahead of the own one that isn't skipped; none while this daemon has just started,
+    /// The first gateway of the groups ahead of the own one that isn't skipped; none while this gateway has just started,
     /// because the others may have started with it and callers are waiting.
     fn earlier_reader<'a>(
         &self,
@@ -205,12 +205,12 @@
         readers.iter().min_by_key(until).copied()
     }
 
-    /// Whether this daemon may call the store on its own account, as of the last choice.
+    /// Whether this gateway may call the store on its own account, as of the last choice.
     pub fn may_read(&self) -> bool {
         self.may_read
     }
 
-    /// Whether no other daemon is left to query immediately if the chosen source turns out unusable.
+    /// Whether no other gateway is left to query immediately if the chosen source turns out unusable.
     pub fn is_last_resort(&self) -> bool {
         self.is_last_resort
     }
@@ -244,7 +244,7 @@
 
     /// Records a reply with the ages of its view of the replicas and of its proof of the configuration; false if one of
     /// them is unusable: a source that the store refuses learns of replicas from others, but can't read a newer
-    /// configuration. A source without any view may have just started and is queried again: if every daemon may read
+    /// configuration. A source without any view may have just started and is queried again: if every gateway may read
     /// the store, the reply counts as a time-out; otherwise the source is skipped briefly, and doesn't make room for
     /// another reader at once.
     pub fn on_reply(
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Records that the queried daemon has no view yet; true if it is one of the few readers and has not said so for
+    /// Records that the queried gateway has no view yet; true if it is one of the few readers and has not said so for
     /// long. If it were skipped like one that doesn't reply, all members of a large group that started together would
     /// become readers one after the other, and their lists would fill the store's link for seconds.
     fn may_be_starting(&mut self, now: Duration) -> bool {
@@ -294,20 +294,20 @@
         now < since + STARTING_TIMEOUT
     }
 
-    /// Records that a reply had an older view than this daemon: the next daemon is queried.
+    /// Records that a reply had an older view than this gateway: the next gateway is queried.
     pub fn on_older_view(&mut self, now: Duration) {
         self.skip_for(now, SHORT_SKIP_PERIOD);
     }
 
-    /// Records that the store doesn't answer the daemon `own`, which follows another daemon meanwhile and continues to
-    /// do so. While it retried the store its own view would become too old, and the daemons that query it would all
+    /// Records that the store doesn't answer the gateway `own`, which follows another gateway meanwhile and continues to
+    /// do so. While it retried the store its own view would become too old, and the gateways that query it would all
     /// read the store.
     pub fn on_store_failing(&mut self, now: Duration, own: &str) {
         self.skipped_until.insert(own.to_owned(), now + SKIP_PERIOD);
     }
 
-    /// Records that a reply relays what this daemon itself has read from the store, so the queried daemon can't read
-    /// it. If it were followed, nobody would read the store until all views were too old, and this daemon would then
+    /// Records that a reply relays what this gateway itself has read from the store, so the queried gateway can't read
+    /// it. If it were followed, nobody would read the store until all views were too old, and this gateway would then
     /// have to list everything again.
     pub fn on_own_view(&mut self, now: Duration) {
         self.skip(now);
@@ -319,8 +319,8 @@
         }
     }
 
-    /// Whether the store seems to be down for all: this daemon, whose view is `own_view_age` old, reads it without
-    /// success, others that replied have no recent view either, and no other daemon is left that could have one.
+    /// Whether the store seems to be down for all: this gateway, whose view is `own_view_age` old, reads it without
+    /// success, others that replied have no recent view either, and no other gateway is left that could have one.
     pub fn is_store_down_for_all(&mut self, now: Duration, own_view_age: Option<Duration>) -> bool {
         self.stale_at.retain(|_, at| now < *at + STALE_RETENTION);
         let has_store_failed = self
@@ -340,7 +340,7 @@
     }
 
     /// Records the age of the view that `own` got from the store after reading it for the time `reading`. If it is too
-    /// old, other daemons are queried, including those behind in rank.
+    /// old, other gateways are queried, including those behind in rank.
     pub fn on_store_view(
         &mut self,
         now: Duration,
@@ -378,7 +378,7 @@
     }
 }
 
-/// `readers` in the order in which the daemon `own` queries them for all replicas: the leading readers of equal
+/// `readers` in the order in which the gateway `own` queries them for all replicas: the leading readers of equal
 /// capacity are rotated by the hash of its name. The processor of one reader can send all pages to about a hundred
 /// members in a second.
 fn rotated_among_equals<'a>(readers: &[&'a WireDaemon], own: &str) -> Vec<&'a WireDaemon> {
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks that synchronize this daemon with its peers.
+//! Starts the tasks that synchronize this gateway with its peers.
 
 use std::net::UdpSocket;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 use crate::state::GatewayState;
 use crate::store;
 
-/// Starts the tasks that synchronize this daemon with its peers.
+/// Starts the tasks that synchronize this gateway with its peers.
 pub async fn run(state: Rc<GatewayState>, socket: UdpSocket) {
     let socket = match tokio::net::UdpSocket::from_std(socket) {
         Ok(socket) => Rc::new(socket),
--- a/crates/gateway/src/peers/usage.rs
+++ b/crates/gateway/src/peers/usage.rs
@@ -17,7 +17,7 @@
 /// The time between two reports. During it a tenant whose demand rises suddenly is admitted beyond its limit.
 const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The same if nothing was used: such a report shows that the daemons are in touch.
+/// The same if nothing was used: such a report shows that the gateways are in touch.
 const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The number of totals in a datagram, which keeps it below 1,200 bytes: each takes up to 50 of them.
--- a/crates/gateway/src/peers/view.rs
+++ b/crates/gateway/src/peers/view.rs
@@ -1,12 +1,12 @@
-//! How recent a daemon's view of the replicas is, and how long removed entries are tolerated after an outage.
+//! How recent a gateway's view of the replicas is, and how long removed entries are tolerated after an outage.
 //!
 //! During an outage of the store replicas can't renew their entries, so afterwards many entries are missing that return
 //! with the next heartbeat. A replica whose entry is missing then stays in use for a while; if it is gone for good, its
 //! address refuses connections, and a request names the replica that it expects there.
 //!
-//! An old view alone doesn't indicate an outage: the source may be cut off from a store that all other daemons reach,
-//! and a missing entry then means that the replica has left. So an outage counts only at a daemon that itself failed to
-//! reach the store, and only until this daemon is in touch again.
+//! An old view alone doesn't indicate an outage: the source may be cut off from a store that all other gateways reach,
+//! and a missing entry then means that the replica has left. So an outage counts only at a gateway that itself failed to
+//! reach the store, and only until this gateway is in touch again.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -21,11 +21,11 @@
 /// that read, this period ends when machines are in touch again (`contactMs`, 3 s).
 const RETENTION_AFTER_OUTAGE: Duration = Duration::from_millis(2200);
 
-/// How long before it is in touch again a daemon stops using replicas without an entry, as a margin for requests in
+/// How long before it is in touch again a gateway stops using replicas without an entry, as a margin for requests in
 /// flight: from then on it must not use any replica that has left.
 const MARGIN_BEFORE_CONTACT: Duration = Duration::from_millis(200);
 
-/// The age of a daemon's knowledge of replicas and other daemons.
+/// The age of a gateway's knowledge of replicas and other gateways.
 #[derive(Debug, Default)]
 pub struct View {
     proved_at: Cell<Option<Instant>>,
@@ -43,7 +43,7 @@
         }
         self.reader.set(reader);
         if self.is_outage(now) {
-            // Not `now`, so that a daemon that learns of it later counts from the same moment as the reader.
+            // Not `now`, so that a gateway that learns of it later counts from the same moment as the reader.
             self.outage_ended_at.set(Some(moment));
         }
         self.proved_at.set(Some(moment));
@@ -60,7 +60,7 @@
         Some(now.saturating_duration_since(proved_at))
     }
 
-    /// Until when a replica stays in use whose entry is found missing at `now`, by a daemon whose own call to the store
+    /// Until when a replica stays in use whose entry is found missing at `now`, by a gateway whose own call to the store
     /// has failed and that is in touch again no sooner than `in_touch_at`; `None` if the store was available all the
     /// time, so that the replica itself has left.
     pub fn keep_until(&self, now: Instant, in_touch_at: Option<Instant>) -> Option<Instant> {
--- a/crates/gateway/src/quarantine/evidence.rs
+++ b/crates/gateway/src/quarantine/evidence.rs
@@ -11,15 +11,15 @@
 /// sends.
 pub const MAX_STRIKES: usize = 3;
 
-/// The same at a daemon that is not a home of the request and hears of few other crashes. It matters at a
-/// daemon that the others can't reach.
+/// The same at a gateway that is not a home of the request and hears of few other crashes. It matters at a
+/// gateway that the others can't reach.
 const MAX_STRIKES_NON_HOME: usize = 5;
 
 /// The excess over the limit that a quarantined request may explain if it was open at all these crashes. That
 /// request may be harmless and quarantined by mistake, so the excess is less than one crash.
 const MAX_EXPLAINED_EXCESS: usize = STRIKE_WEIGHT - 1;
 
-/// The time after a crash by which all coinciding crashes are known: every daemon that is not frozen has
+/// The time after a crash by which all coinciding crashes are known: every gateway that is not frozen has
 /// reported by then.
 const CRASH_SETTLE_TIME: Duration = Duration::from_millis(300);
 
--- a/crates/gateway/src/quarantine/fingerprint.rs
+++ b/crates/gateway/src/quarantine/fingerprint.rs
@@ -28,7 +28,7 @@
         Self(bytes)
     }
 
-    /// Converts from the number that daemons exchange.
+    /// Converts from the number that gateways exchange.
     pub fn from_number(number: u128) -> Self {
         Self(number.to_be_bytes())
     }
--- a/crates/gateway/src/quarantine/homes.rs
+++ b/crates/gateway/src/quarantine/homes.rs
@@ -1,8 +1,8 @@
-//! Which daemons count the strikes of a request: its home daemons.
+//! Which gateways count the strikes of a request: its home gateways.
 //!
-//! A request may arrive at any daemon, and its strikes are seen by the daemons that had it open. If every
-//! strike were sent to all daemons, a crash of a seventh of 600 replicas would be reported 380 times over. So
-//! a few daemons, chosen by rendezvous hashing and thus the same at every daemon, count for each request, and
+//! A request may arrive at any gateway, and its strikes are seen by the gateways that had it open. If every
+//! strike were sent to all gateways, a crash of a seventh of 600 replicas would be reported 380 times over. So
+//! a few gateways, chosen by rendezvous hashing and thus the same at every gateway, count for each request, and
 //! inform all others once there is something to know.
 
 use std::time::Duration;
@@ -13,14 +13,14 @@
 use crate::peers::directory::{Directory, name_digest};
 use crate::peers::message::WireDaemon;
 
-/// The number of home daemons per request: two may be down, cut off or frozen.
+/// The number of home gateways per request: two may be down, cut off or frozen.
 const HOMES: usize = 3;
 
-/// The head start of each home daemon over the next one in rank when a record is to be written to the store:
-/// a daemon that is up writes it, and informs all, within tens of milliseconds.
+/// The head start of each home gateway over the next one in rank when a record is to be written to the store:
+/// a gateway that is up writes it, and informs all, within tens of milliseconds.
 pub const WRITE_TURN: Duration = Duration::from_millis(700);
 
-/// The home daemons of a request, highest rank first.
+/// The home gateways of a request, highest rank first.
 pub fn homes(directory: &Directory, fingerprint: Fingerprint) -> Vec<&WireDaemon> {
     let bytes = fingerprint.number().to_le_bytes();
     directory.highest(HOMES, |daemon| {
@@ -28,7 +28,7 @@
     })
 }
 
-/// The rank of the daemon `own` among the home daemons of a request; 0 is the highest.
+/// The rank of the gateway `own` among the home gateways of a request; 0 is the highest.
 pub fn home_rank(
     directory: &Directory,
     fingerprint: Fingerprint,
@@ -38,19 +38,19 @@
     homes.iter().position(|home| home.name == own.name)
 }
 
-/// Whether this daemon is to write a record that has been missing in the store for `lacking_for`; `home_rank`
-/// is its rank among the home daemons.
+/// Whether this gateway is to write a record that has been missing in the store for `lacking_for`; `home_rank`
+/// is its rank among the home gateways.
 pub fn is_write_turn(home_rank: Option<usize>, lacking_for: Duration) -> bool {
     let home_rank = home_rank.and_then(|home_rank| u32::try_from(home_rank).ok());
     home_rank.is_some_and(|home_rank| lacking_for >= WRITE_TURN * home_rank)
 }
 
-/// Whether the daemon `own` is the first home of a request, which acts for all home daemons.
+/// Whether the gateway `own` is the first home of a request, which acts for all home gateways.
 pub fn is_first_home(directory: &Directory, fingerprint: Fingerprint, own: &WireDaemon) -> bool {
     home_rank(directory, fingerprint, own) == Some(0)
 }
 
-/// Whether the daemon `own` counts strikes for a request.
+/// Whether the gateway `own` counts strikes for a request.
 pub fn role(directory: &Directory, fingerprint: Fingerprint, own: &WireDaemon) -> Role {
     match home_rank(directory, fingerprint, own) {
         Some(_) => Role::Home,
--- a/crates/gateway/src/quarantine/incarnations.rs
+++ b/crates/gateway/src/quarantine/incarnations.rs
@@ -1,8 +1,8 @@
 //! Attributes a crash reported under an earlier incarnation of its replica to the right one.
 //!
-//! A daemon names a crash after the incarnation that it knows. If it has not heard yet that the replica
+//! A gateway names a crash after the incarnation that it knows. If it has not heard yet that the replica
 //! restarted under its id, it sends requests to the new incarnation and attributes its crash to the previous
-//! one. Daemons that know of the previous crash see that the run started after it, and attribute the crash to
+//! one. Gateways that know of the previous crash see that the run started after it, and attribute the crash to
 //! the next incarnation as soon as they have heard of that one.
 
 use std::collections::{HashMap, VecDeque};
--- a/crates/gateway/src/quarantine/isolated_trials.rs
+++ b/crates/gateway/src/quarantine/isolated_trials.rs
@@ -34,14 +34,14 @@
 /// after that it stays in quarantine.
 const MAX_TRIALS: u32 = 3;
 
-/// The head start of each home daemon of the request over the next one in rank.
+/// The head start of each home gateway of the request over the next one in rank.
 const HOME_TURN: Duration = Duration::from_secs(1);
 
-/// The time after which any daemon may try the request, since it may not arrive at its home daemons.
+/// The time after which any gateway may try the request, since it may not arrive at its home gateways.
 const OTHERS_DELAY: Duration = Duration::from_secs(4);
 
-/// Each other daemon has its own time slot of this length, so that no two try the request at once: all
-/// daemons know of a trial within tens of milliseconds.
+/// Each other gateway has its own time slot of this length, so that no two try the request at once: all
+/// gateways know of a trial within tens of milliseconds.
 const OTHER_TURN: Duration = Duration::from_millis(250);
 
 /// The number of such time slots.
@@ -103,7 +103,7 @@
 }
 
 /// Whether rivals were open at all but one of the crashes that count against a request. That one may be its
-/// own crash, or one reported under two incarnations: a daemon that has not heard of a restart yet attributes
+/// own crash, or one reported under two incarnations: a gateway that has not heard of a restart yet attributes
 /// a crash to the earlier incarnation.
 fn is_covered_by_rivals(record: &Record, rivals: &[(Fingerprint, &Record)]) -> bool {
     let was_open_there =
@@ -115,7 +115,7 @@
     own <= 1 && !rivals.is_empty()
 }
 
-/// How long this daemon waits after a request is due for an isolated trial before it may try it.
+/// How long this gateway waits after a request is due for an isolated trial before it may try it.
 pub fn trial_delay(directory: &Directory, fingerprint: Fingerprint, own: &WireDaemon) -> Duration {
     let home =
         home_rank(directory, fingerprint, own).and_then(|home_rank| u32::try_from(home_rank).ok());
--- a/crates/gateway/src/quarantine/ledger.rs
+++ b/crates/gateway/src/quarantine/ledger.rs
@@ -13,11 +13,11 @@
 //!   at no other crash. If others were open at the same crashes, none explains the other: all are
 //!   quarantined, and tried in isolation ([`super::isolated_trials`]).
 //!
-//! Daemons exchange their records. Two records of one request merge into the same result, in whatever order
+//! Gateways exchange their records. Two records of one request merge into the same result, in whatever order
 //! and however often they arrive: clearing a request starts a new generation, which supersedes the earlier
 //! ones.
 //!
-//! A record with one strike is known only to the request's home daemons and to those that lost an answer.
+//! A record with one strike is known only to the request's home gateways and to those that lost an answer.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -30,7 +30,7 @@
 use crate::store::StorePosition;
 
 /// How long after the last strike a completed answer is checked for whether it clears a request that only
-/// this daemon and the home daemons know of. After that no request is hashed.
+/// this gateway and the home gateways know of. After that no request is hashed.
 const CLEARING_WINDOW: Duration = Duration::from_secs(60);
 
 /// The maximum number of forgotten records remembered, about 100 bytes each. This is more than are forgotten
@@ -55,23 +55,23 @@
     IsolatedTrialDue(Duration),
 }
 
-/// What a change of a record means for other daemons.
+/// What a change of a record means for other gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordUpdate {
-    /// It does not concern all daemons.
+    /// It does not concern all gateways.
     NotShared,
-    /// Every daemon has to know it.
+    /// Every gateway has to know it.
     Shared,
-    /// Every daemon has to know it, and this daemon has just decided to quarantine the request.
+    /// Every gateway has to know it, and this gateway has just decided to quarantine the request.
     Quarantined,
 }
 
-/// The records of one daemon. Times are those of [`super::Quarantine::now`].
+/// The records of one gateway. Times are those of [`super::Quarantine::now`].
 #[derive(Debug, Default)]
 pub struct Ledger {
     pub(super) records: HashMap<Fingerprint, Record>,
     pub(super) requests_by_crash: RequestsByCrash,
-    /// The records that all daemons have to know, with their digests.
+    /// The records that all gateways have to know, with their digests.
     shared: HashMap<Fingerprint, u64>,
     /// The sum of the digests in `shared`.
     digest: u64,
@@ -89,10 +89,10 @@
     forgotten: VecDeque<(Fingerprint, Vec<u64>)>,
 }
 
-/// How a daemon judges a request.
+/// How a gateway judges a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It is a home daemon of the request: all daemons report strikes to it.
+    /// It is a home gateway of the request: all gateways report strikes to it.
     Home,
     /// It is not.
     Other,
@@ -103,7 +103,7 @@
 pub struct Cleared {
     /// The previous record.
     pub before: Record,
-    /// Whether every daemon has to know it; otherwise only the home daemons do.
+    /// Whether every gateway has to know it; otherwise only the home gateways do.
     pub is_shared: bool,
 }
 
@@ -211,7 +211,7 @@
         self.merge(fingerprint, reported, role, now)
     }
 
-    /// Merges a record from another daemon or from the store.
+    /// Merges a record from another gateway or from the store.
     pub fn merge(
         &mut self,
         fingerprint: Fingerprint,
@@ -314,13 +314,13 @@
         self.records.get(&fingerprint)
     }
 
-    /// The records that all daemons have to know.
+    /// The records that all gateways have to know.
     pub fn shared_records(&self) -> impl Iterator<Item = (Fingerprint, &Record)> {
         let shared = self.shared.keys();
         shared.filter_map(|fingerprint| Some((*fingerprint, self.records.get(fingerprint)?)))
     }
 
-    /// A digest of [`Ledger::shared_records`]: two daemons with equal digests have the same records.
+    /// A digest of [`Ledger::shared_records`]: two gateways with equal digests have the same records.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -410,7 +410,7 @@
         others.filter_map(|other| self.records.get(other))
     }
 
-    /// When a replica last crashed, as far as this daemon knows.
+    /// When a replica last crashed, as far as this gateway knows.
     pub(super) fn last_crash_at(&self) -> Option<Duration> {
         self.last_crash_at
     }
--- a/crates/gateway/src/quarantine/lost_answers.rs
+++ b/crates/gateway/src/quarantine/lost_answers.rs
@@ -87,7 +87,7 @@
 async fn check_for_crash(state: Rc<GatewayState>, replica: Rc<Replica>, ended_at: Duration) {
     tokio::time::sleep(GATHER_WINDOW).await;
     let is_refused = is_refused(replica.pool.peer()).await;
-    // A daemon whose process stood still during the crash may find the next incarnation at the address.
+    // A gateway whose process stood still during the crash may find the next incarnation at the address.
     let has_crashed = is_refused || state.registry.is_replaced(&replica);
     let lost = state.quarantine.lost_answers.take(&replica.incarnation);
     if !has_crashed {
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! When a request crashes its replica, everything else that ran there is lost too; the caller retries, and
 //! the request is sent to the next replica. Its effects therefore have to be remembered across attempts and
-//! daemons: each crash of a replica counts as a strike against the requests that were open there, and no
-//! daemon sends a request that has three strikes.
+//! gateways: each crash of a replica counts as a strike against the requests that were open there, and no
+//! gateway sends a request that has three strikes.
 //!
 //! - [`fingerprint`]: identifies all attempts of one request.
 //! - [`lost_answers`]: finds out whether a replica has crashed or only broke off an answer.
@@ -12,10 +12,10 @@
 //! - `incarnations`: attributes a crash reported under an earlier incarnation of its replica.
 //! - `evidence`: what crashes prove against a request.
 //! - [`isolated_trials`]: when a request is tried while those with the same crashes are held back.
-//! - [`homes`]: which daemons count strikes for a request.
-//! - [`shared`]: the records of this daemon, and what it has to announce.
+//! - [`homes`]: which gateways count strikes for a request.
+//! - [`shared`]: the records of this gateway, and what it has to announce.
 //!
-//! The exchange between daemons is in [`crate::peers`], storage in [`crate::store`].
+//! The exchange between gateways is in [`crate::peers`], storage in [`crate::store`].
 
 mod by_crash;
 mod evidence;
--- a/crates/gateway/src/quarantine/record.rs
+++ b/crates/gateway/src/quarantine/record.rs
@@ -5,7 +5,7 @@
 use super::Fingerprint;
 use crate::store::{StoreEra, StorePosition};
 
-/// The number of strikes from which a request is suspicious and every daemon knows of it.
+/// The number of strikes from which a request is suspicious and every gateway knows of it.
 pub(super) const SUSPICIOUS_STRIKES: usize = 2;
 
 /// The weight of a strike, chosen so that half a strike is an integer.
@@ -17,11 +17,11 @@
 const MAX_EVENT_WEIGHT: usize = 2 * STRIKE_WEIGHT;
 
 /// Replicas that crash within this time crash together. When 15 in 100 crash at once, their connections break
-/// within some ten milliseconds at all daemons (logs of an incident: 2 ms).
+/// within some ten milliseconds at all gateways (logs of an incident: 2 ms).
 pub(super) const SAME_EVENT_WINDOW: Duration = Duration::from_millis(100);
 
 /// How much earlier than a crash a run at the next replica may seem to have started although it started
-/// later: ages are sent in whole milliseconds, and a datagram between daemons takes a few.
+/// later: ages are sent in whole milliseconds, and a datagram between gateways takes a few.
 const TIMING_TOLERANCE: Duration = Duration::from_millis(10);
 
 /// The shortest run that proves that its replica was alive when it started. The connections to a crashing
@@ -31,7 +31,7 @@
 /// How long a strike counts. A request that returns less often than that crashes a replica only now and then.
 const STRIKE_RETENTION: Duration = Duration::from_secs(15 * 60);
 
-/// How long a request stays in quarantine before one daemon tries it again, in case the replicas were fixed;
+/// How long a request stays in quarantine before one gateway tries it again, in case the replicas were fixed;
 /// the delay doubles with each such trial that crashes a replica.
 const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(3600);
 
@@ -81,7 +81,7 @@
     pub stored: Stored,
     /// When it was last cleared.
     pub cleared_at: Duration,
-    /// Answers completed since its first strike, in all generations, as far as this daemon knows.
+    /// Answers completed since its first strike, in all generations, as far as this gateway knows.
     pub completions: u32,
     /// How often it was tried in isolation from the requests that were open at the same crashes, in this
     /// generation.
@@ -142,7 +142,7 @@
         weight
     }
 
-    /// Whether every daemon has to know the record.
+    /// Whether every gateway has to know the record.
     pub fn is_shared(&self) -> bool {
         self.is_quarantined || self.generation > 0 || self.strikes.len() >= SUSPICIOUS_STRIKES
     }
@@ -164,7 +164,7 @@
         (self.trials < MAX_TRIALS).then(|| self.last_event_at().saturating_add(term))
     }
 
-    /// Merges what another daemon knows.
+    /// Merges what another gateway knows.
     pub(super) fn merge(&mut self, other: Self) {
         if other.generation < self.generation {
             return;
@@ -210,7 +210,7 @@
         }
     }
 
-    /// The mean time that the request had run at the replicas that crashed; zero if unknown. All daemons
+    /// The mean time that the request had run at the replicas that crashed; zero if unknown. All gateways
     /// agree on it within a few milliseconds.
     pub(super) fn mean_run(&self) -> Duration {
         let mut runs = Duration::ZERO;
@@ -255,7 +255,7 @@
         bytes.extend(self.trials.to_le_bytes());
         bytes.push(u8::from(self.is_quarantined));
         if self.isolated_trials > 0 {
-            // Omitted when zero, so that daemons of earlier versions, which know no isolated trials, compute
+            // Omitted when zero, so that gateways of earlier versions, which know no isolated trials, compute
             // the same digest.
             bytes.extend(self.isolated_trials.to_le_bytes());
         }
--- a/crates/gateway/src/quarantine/shared.rs
+++ b/crates/gateway/src/quarantine/shared.rs
@@ -1,4 +1,4 @@
-//! The records of this daemon, and what it has to announce to other daemons and to the store.
+//! The records of this gateway, and what it has to announce to other gateways and to the store.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,8 +22,8 @@
 /// (`contact_seconds`).
 pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(350);
 
-/// The reading of the records' clock when this daemon starts, so that times before the start, which other
-/// daemons report, can be represented. It is longer than anything is remembered.
+/// The reading of the records' clock when this gateway starts, so that times before the start, which other
+/// gateways report, can be represented. It is longer than anything is remembered.
 const CLOCK_ORIGIN: Duration = Duration::from_secs(30 * 24 * 3600);
 
 /// A stored object that is to be removed.
@@ -35,14 +35,14 @@
     pub position: StorePosition,
 }
 
-/// What to send to other daemons.
+/// What to send to other gateways.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Strikes, for the home daemons of their requests.
+    /// Strikes, for the home gateways of their requests.
     pub strikes: Vec<(Fingerprint, Strike)>,
-    /// Requests that were cleared, for their home daemons.
+    /// Requests that were cleared, for their home gateways.
     pub cleared: Vec<Fingerprint>,
-    /// Requests whose records all daemons have to know.
+    /// Requests whose records all gateways have to know.
     pub updates: Vec<Fingerprint>,
 }
 
@@ -53,7 +53,7 @@
     next_at: Duration,
 }
 
-/// The records of this daemon.
+/// The records of this gateway.
 #[derive(Debug)]
 pub struct Quarantine {
     began: Instant,
@@ -63,7 +63,7 @@
     outbox: RefCell<Outbox>,
     announcements: RefCell<HashMap<Fingerprint, Announcement>>,
     removals: RefCell<Vec<Removal>>,
-    /// Wakes the task that announces updates to other daemons.
+    /// Wakes the task that announces updates to other gateways.
     pub announce_wakeup: Notify,
     /// Wakes the task that keeps records in the store.
     pub store_wakeup: Notify,
@@ -72,9 +72,9 @@
 /// The source of a record or strike, for the logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordSource {
-    /// This daemon observed it.
+    /// This gateway observed it.
     Own,
-    /// Another daemon.
+    /// Another gateway.
     Peer,
     /// The store.
     Store,
@@ -103,7 +103,7 @@
         CLOCK_ORIGIN + self.began.elapsed()
     }
 
-    /// Records that a replica crashed while a request of this daemon was open there, and announces it.
+    /// Records that a replica crashed while a request of this gateway was open there, and announces it.
     pub fn strike(&self, fingerprint: Fingerprint, strike: Strike, role: Role) {
         self.outbox.borrow_mut().strikes.push((fingerprint, strike));
         self.announce_wakeup.notify_one();
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Merges a record from another daemon or the store; returns whether that changed something.
+    /// Merges a record from another gateway or the store; returns whether that changed something.
     pub fn merge_record(
         &self,
         fingerprint: Fingerprint,
@@ -289,7 +289,7 @@
         read(&self.ledger.borrow())
     }
 
-    /// Records how the store keeps a record, and announces it to all daemons.
+    /// Records how the store keeps a record, and announces it to all gateways.
     pub fn note_stored(&self, fingerprint: Fingerprint, stored: Stored) {
         self.ledger.borrow_mut().note_stored(fingerprint, stored);
         self.announce(fingerprint);
--- a/crates/gateway/src/quarantine/stored_state.rs
+++ b/crates/gateway/src/quarantine/stored_state.rs
@@ -1,19 +1,19 @@
-//! Compares the stored record of a request with a daemon's own.
+//! Compares the stored record of a request with a gateway's own.
 
 use crate::protocol::QuarantineRecord;
 
-/// How the store's object compares with a daemon's record.
+/// How the store's object compares with a gateway's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoredState {
-    /// It contains everything in the daemon's record.
+    /// It contains everything in the gateway's record.
     Current,
     /// It lacks something and has to be overwritten.
     Outdated,
-    /// The request was cleared or released since: the daemon's record is out of date.
+    /// The request was cleared or released since: the gateway's record is out of date.
     Newer,
 }
 
-/// Compares the store's object with a daemon's record. A store that was restored from a backup may hold an
+/// Compares the store's object with a gateway's record. A store that was restored from a backup may hold an
 /// earlier state.
 pub fn compare(kept: &QuarantineRecord, own: &QuarantineRecord) -> StoredState {
     if kept.generation != own.generation {
--- a/crates/gateway/src/quota/group_use.rs
+++ b/crates/gateway/src/quota/group_use.rs
@@ -1,6 +1,6 @@
-//! What a tenant used in one group of daemons, as reported by the leaders of the group.
+//! What a tenant used in one group of gateways, as reported by the leaders of the group.
 //!
-//! Two daemons may act as leader for a while: one that was frozen and has resumed, and its successor. A
+//! Two gateways may act as leader for a while: one that was frozen and has resumed, and its successor. A
 //! member reports to one leader at a time, so each leader counts only what it received itself, and the
 //! reports of the two are kept apart.
 //!
@@ -13,7 +13,7 @@
 use crate::peers::message::WireTotals;
 
 /// The window over which usage rates are averaged, and over which tokens left in the bucket are spent. It is
-/// well above the time that daemons need to learn of each other's usage (about 100 ms), which keeps the rates
+/// well above the time that gateways need to learn of each other's usage (about 100 ms), which keeps the rates
 /// from oscillating.
 pub(super) const AVERAGING_WINDOW: Duration = Duration::from_secs(1);
 
@@ -26,7 +26,7 @@
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long after a silence the reports of a group may still account for usage during it: a new leader may
-/// not have all members' reports yet, and reports may have waited at this daemon while its process stood
+/// not have all members' reports yet, and reports may have waited at this gateway while its process stood
 /// still. Assumed usage that is not reported by then did not happen.
 const CATCH_UP_WINDOW: Duration = Duration::from_millis(250);
 
@@ -94,7 +94,7 @@
 
 impl LeaderUsage {
     /// Whether a report sent at `sent` is older than one already applied. Datagrams may be reordered, and a
-    /// daemon whose process stood still forwards old reports. Their totals are lower, so applying them would
+    /// gateway whose process stood still forwards old reports. Their totals are lower, so applying them would
     /// count the next ones again.
     fn is_out_of_order(&self, sent: Option<Duration>) -> bool {
         let both = sent.zip(self.sent);
--- a/crates/gateway/src/quota/limit.rs
+++ b/crates/gateway/src/quota/limit.rs
@@ -1,4 +1,4 @@
-//! One daemon's copy of a tenant's token bucket, and the decision whether to admit a request.
+//! One gateway's copy of a tenant's token bucket, and the decision whether to admit a request.
 //!
 //! This module reads no clock: all times are durations since a fixed instant of one monotonic clock.
 
@@ -12,12 +12,12 @@
 use crate::configuration::Quota;
 use crate::peers::message::WireTotals;
 
-/// The time after which the sums reported to this daemon include what it admitted itself: two reports, each
+/// The time after which the sums reported to this gateway include what it admitted itself: two reports, each
 /// batched for 50 ms, and the network latency.
 pub const REPORT_LATENCY: Duration = Duration::from_millis(250);
 
 /// The share of the tolerated overshoot by which the refill rate exceeds the limit; the rest covers what is
-/// admitted before all daemons know that a tenant's demand has risen.
+/// admitted before all gateways know that a tenant's demand has risen.
 const OVERSHOOT_SHARE: f64 = 0.4;
 
 /// The share of the tolerated slack by which the burst is raised: requests arrive in clusters, and a tenant
@@ -48,17 +48,17 @@
     ExceedsBurst,
 }
 
-/// This daemon's copy of one tenant's token bucket.
+/// This gateway's copy of one tenant's token bucket.
 #[derive(Debug)]
 pub struct TenantLimit {
     quota: Quota,
     tolerance: Tolerance,
     level: f64,
     refilled_at: Duration,
-    /// Costs of recently admitted requests, with their times, that the sums of this daemon's group may not
+    /// Costs of recently admitted requests, with their times, that the sums of this gateway's group may not
     /// include yet.
     unreported: VecDeque<(Duration, f64)>,
-    /// What this daemon took out of the bucket itself because its group did not report.
+    /// What this gateway took out of the bucket itself because its group did not report.
     deducted: f64,
     own_group: u64,
     created_at: Duration,
@@ -66,7 +66,7 @@
 }
 
 impl TenantLimit {
-    /// An empty bucket at `now`: a daemon that has just started can't know the previous usage. A tenant below
+    /// An empty bucket at `now`: a gateway that has just started can't know the previous usage. A tenant below
     /// its rate is admitted regardless.
     pub fn new(quota: Quota, tolerance: Tolerance, now: Duration) -> Self {
         Self {
@@ -125,7 +125,7 @@
         self.refilled_at = self.refilled_at.max(now);
         // Unreported costs are not taken out of the level yet, so the level may exceed the burst by them.
         let full = self.burst() + self.unreported_sum();
-        // Refill and assumed usage are applied together, since they covered the same time. Otherwise a daemon
+        // Refill and assumed usage are applied together, since they covered the same time. Otherwise a gateway
         // whose process stood still would first find the bucket full and then empty.
         let groups = self.groups.values_mut();
         let assumed: f64 = groups.map(|group| group.assume_usage(now)).sum();
@@ -137,7 +137,7 @@
         self.unreported.iter().map(|(_, cost)| cost).sum()
     }
 
-    /// Drops costs that the sums of this daemon's group include by now. If the group does not report, the
+    /// Drops costs that the sums of this gateway's group include by now. If the group does not report, the
     /// costs are taken out of the bucket here.
     fn settle_reported(&mut self, now: Duration) {
         let own_group = self.groups.get(&self.own_group);
@@ -154,7 +154,7 @@
         }
     }
 
-    /// The share of the limit that belongs to the groups with reports, out of `known` groups: a daemon that
+    /// The share of the limit that belongs to the groups with reports, out of `known` groups: a gateway that
     /// has just started and has no report of a group can't know its usage.
     fn reporting_share(&self, now: Duration, known: usize) -> f64 {
         if now >= self.created_at + ASSUMED_USAGE_WINDOW || known == 0 {
@@ -174,7 +174,7 @@
     }
 
     /// Decides whether to admit a request of `cost` at `now`. `known_groups` is the number of known groups of
-    /// daemons; `draw` is a random number from 0 to 1.
+    /// gateways; `draw` is a random number from 0 to 1.
     ///
     /// # Errors
     ///
--- a/crates/gateway/src/quota/shared.rs
+++ b/crates/gateway/src/quota/shared.rs
@@ -1,4 +1,4 @@
-//! The limits of all tenants at this daemon.
+//! The limits of all tenants at this gateway.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -24,15 +24,15 @@
     started_at: Instant,
     own_group: Cell<u64>,
     known_groups: Cell<usize>,
-    /// The digest of the name of the daemon that leads this daemon's group and sums up its usage.
+    /// The digest of the name of the gateway that leads this gateway's group and sums up its usage.
     leader: Cell<u64>,
     tolerance: RefCell<Tolerance>,
     limits: RefCell<HashMap<u64, TenantLimit>>,
-    /// The usage of this daemon's requests.
+    /// The usage of this gateway's requests.
     own_totals: RefCell<TenantTotals>,
     /// What was charged for requests that did not run, by tenant; it is deducted from the next charges.
     refunds: RefCell<HashMap<u64, u64>>,
-    /// The usage of the group, if this daemon leads it.
+    /// The usage of the group, if this gateway leads it.
     group_sums: RefCell<GroupSums>,
     /// Reports of other groups since the last report to the own group.
     queued_reports: RefCell<Vec<WireGroupUsage>>,
@@ -60,18 +60,18 @@
         self.tolerance.replace(tolerance);
     }
 
-    /// Sets the name of this daemon's group and the number of known groups.
+    /// Sets the name of this gateway's group and the number of known groups.
     pub fn set_groups(&self, own: &str, known: usize) {
         self.own_group.set(xxh3_64(own.as_bytes()));
         self.known_groups.set(known);
     }
 
-    /// Sets the leader of this daemon's group, by the digest of its name.
+    /// Sets the leader of this gateway's group, by the digest of its name.
     pub fn set_leader(&self, leader: u64) {
         self.leader.set(leader);
     }
 
-    /// The time stamp of this daemon's reports, in milliseconds since the limits were set up.
+    /// The time stamp of this gateway's reports, in milliseconds since the limits were set up.
     pub fn now_ms(&self, now: Instant) -> u64 {
         to_ms(self.since_start(now))
     }
@@ -139,7 +139,7 @@
     }
 
     /// Starts to count for the tenants of a configuration that have limits, before their first requests
-    /// arrive at this daemon.
+    /// arrive at this gateway.
     pub fn set_tenants<'a>(&self, tenants: impl Iterator<Item = &'a Tenant>, now: Instant) {
         let now = self.since_start(now);
         let tolerance = *self.tolerance.borrow();
@@ -175,7 +175,7 @@
         let now = self.since_start(now);
         let group = xxh3_64(usage.group.as_bytes());
         let own = self.own_group.get();
-        // Daemons of earlier versions do not send the leader's name.
+        // Gateways of earlier versions do not send the leader's name.
         let is_from_leader = usage.leader == 0 || usage.leader == self.leader.get();
         if group == own && is_from_leader {
             // These sums include what was reported before that time.
@@ -213,14 +213,14 @@
         self.queued_reports.take()
     }
 
-    /// The recent usage of this daemon's tenants.
+    /// The recent usage of this gateway's tenants.
     pub fn own_usage(&self, now: Instant) -> Vec<WireTotals> {
         self.own_totals
             .borrow()
             .recently_changed(self.since_start(now))
     }
 
-    /// The recent usage of the group's tenants, as reported to this daemon by the members.
+    /// The recent usage of the group's tenants, as reported to this gateway by the members.
     pub fn group_usage(&self, now: Instant) -> Vec<WireTotals> {
         let now = self.since_start(now);
         let mut sums = self.group_sums.borrow_mut();
--- a/crates/gateway/src/quota/usage.rs
+++ b/crates/gateway/src/quota/usage.rs
@@ -20,7 +20,7 @@
 const MAX_SNAPSHOTS: usize = 40;
 
 /// The delay beyond the usual one above which a report is late. A late report of a member is useless: by then
-/// the member was told that another daemon leads, which has counted that usage. A daemon whose process stood
+/// the member was told that another gateway leads, which has counted that usage. A gateway whose process stood
 /// still finds many such reports.
 const LATE_THRESHOLD: Duration = Duration::from_millis(500);
 
@@ -151,7 +151,7 @@
 /// The sums of a group, kept by its leader.
 #[derive(Debug, Default)]
 pub struct GroupSums {
-    /// The sums since this daemon started to keep them.
+    /// The sums since this gateway started to keep them.
     pub totals: TenantTotals,
     members: HashMap<u64, Member>,
 }
@@ -164,7 +164,7 @@
     delay: MinDelay,
 }
 
-/// The minimum difference between another daemon's clock and this one's over its recent reports, which
+/// The minimum difference between another gateway's clock and this one's over its recent reports, which
 /// belongs to a report that arrived without delay.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct MinDelay {
--- a/crates/gateway/src/suspected_weights.rs
+++ b/crates/gateway/src/suspected_weights.rs
@@ -1,4 +1,4 @@
-//! Weights versions that may have been named without this daemon noticing.
+//! Weights versions that may have been named without this gateway noticing.
 //!
 //! The store keeps only the last write of the object that names a model's weights. A write whose answer was
 //! lost may take effect after a later one; if nobody watches at that moment, the version in between is never
@@ -20,7 +20,7 @@
 use crate::store::{StoreEra, StorePosition};
 use crate::weights::Since;
 
-/// How long entries show a version before it is suspected: a daemon that reads the store learns of a naming
+/// How long entries show a version before it is suspected: a gateway that reads the store learns of a naming
 /// itself within 1.4 s, see [`crate::store::KnownNamings`].
 const SUSPICION_DELAY: Duration = Duration::from_millis(1500);
 
@@ -75,7 +75,7 @@
     position: StorePosition,
 }
 
-/// When this daemon learned of the newest version that it knows.
+/// When this gateway learned of the newest version that it knows.
 #[derive(Debug, Clone, Copy)]
 struct KnownVersion {
     version: u64,
@@ -90,14 +90,14 @@
     since: Instant,
 }
 
-/// Weights versions that may have been named without this daemon noticing.
+/// Weights versions that may have been named without this gateway noticing.
 #[derive(Debug, Default)]
 pub struct SuspectedWeights {
     by_model: HashMap<String, ModelState>,
 }
 
 impl SuspectedWeights {
-    /// Records that this daemon learned of a version, the newest known one, at `at`, in this era of the
+    /// Records that this gateway learned of a version, the newest known one, at `at`, in this era of the
     /// store.
     pub fn note_known(&mut self, weights: &ModelVersion, at: Instant, era: StoreEra) {
         let version = weights.version;
--- a/crates/gateway/tests/configuration_pieces.rs
+++ b/crates/gateway/tests/configuration_pieces.rs
@@ -1,4 +1,4 @@
-//! Transfers of a configuration's document between daemons: pieces that are lost, duplicated, reordered, mixed from two
+//! Transfers of a configuration's document between gateways: pieces that are lost, duplicated, reordered, mixed from two
 //! versions or invalid.
 
 use bytes::Bytes;
@@ -35,7 +35,7 @@
     }
 }
 
-/// The replies of a daemon that holds this document.
+/// The replies of a gateway that holds this document.
 fn replies(version: u64, document: &[u8], query: &ConfigurationQuery) -> Vec<ConfigurationReply> {
     let held = configuration(version, document.to_vec());
     answers(query, Some(&held), true)
--- a/crates/gateway/tests/packed.rs
+++ b/crates/gateway/tests/packed.rs
@@ -36,7 +36,7 @@
     accepts_packed: bool,
 }
 
-/// A query of a daemon that accepts packed replicas and has the changes of `log` up to `sequence`.
+/// A query of a gateway that accepts packed replicas and has the changes of `log` up to `sequence`.
 fn packed_query(log: u64, sequence: u64) -> SyncQuery {
     SyncQuery {
         accepts_packed: true,
@@ -135,7 +135,7 @@
     keyed.collect()
 }
 
-/// The reply as the querying daemon decodes it.
+/// The reply as the querying gateway decodes it.
 fn round_trip(reply: SyncReply) -> SyncReply {
     let bytes = Message::SyncReply(Box::new(reply))
         .encode()
@@ -280,7 +280,7 @@
     assert!(!read.accepts_packed, "it does not tell columns");
 }
 
-/// A query of a daemon that has the first `sequence` changes of a log.
+/// A query of a gateway that has the first `sequence` changes of a log.
 fn query_after(log: &ChangeLog, sequence: u64) -> SyncQuery {
     packed_query(log.id(), sequence)
 }
--- a/crates/gateway/tests/peer_sources.rs
+++ b/crates/gateway/tests/peer_sources.rs
@@ -1,4 +1,4 @@
-//! The choice of the daemon that another one queries, and the detection of a store that is down for all.
+//! The choice of the gateway that another one queries, and the detection of a store that is down for all.
 
 #[path = "support/daemons.rs"]
 mod daemons;
@@ -167,7 +167,7 @@
     assert_eq!(leader(&chooser), Some(group[0].name.clone()));
 }
 
-/// A group of 20 out of 40 daemons, and the first daemon of the other group.
+/// A group of 20 out of 40 gateways, and the first gateway of the other group.
 fn large_group() -> (Vec<WireDaemon>, Vec<WireDaemon>) {
     let daemons = in_zones(40, &["a", "b"]);
     let directory = Directory::new(&daemons, &daemons[0]);
@@ -175,7 +175,7 @@
     (directory.group, others)
 }
 
-/// The daemons that the one of rank `own` queries, none of which has a recent view, until no other is left; the last
+/// The gateways that the one of rank `own` queries, none of which has a recent view, until no other is left; the last
 /// element is its choice then.
 fn queried_in_an_outage(own: usize) -> Vec<Option<String>> {
     let (group, others) = large_group();
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! The change log that daemons follow, and the encoding of their datagrams.
+//! The change log that gateways follow, and the encoding of their datagrams.
 
 #[path = "support/sync_queries.rs"]
 mod sync_queries;
@@ -28,7 +28,7 @@
     })
 }
 
-/// A daemon that follows a log page by page.
+/// A gateway that follows a log page by page.
 struct Follower {
     own: ChangeLog,
     followed: FollowedLog,
@@ -79,7 +79,7 @@
     log.items().map(|item| (item.key(), item.clone())).collect()
 }
 
-/// The reply of a daemon with this log, three changes per page.
+/// The reply of a gateway with this log, three changes per page.
 fn answer(log: &ChangeLog, query: &SyncQuery) -> SyncReply {
     let mut count = 0;
     let page = log.page(query, |_| {
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -24,7 +24,7 @@
     START + Duration::from_secs_f64(seconds)
 }
 
-/// Records a crash at a home daemon of the request, without delay.
+/// Records a crash at a home gateway of the request, without delay.
 fn strike(ledger: &mut Ledger, number: u128, replica: u64, moment: Duration) -> RecordUpdate {
     let strike = Strike {
         replica,
@@ -210,7 +210,7 @@
 
 #[test]
 fn any_daemon_clears_a_request_that_was_open_at_two_coinciding_crashes() {
-    // Merged late, at a daemon that lost no answer itself: it must still notice that the request completes.
+    // Merged late, at a gateway that lost no answer itself: it must still notice that the request completes.
     let mut ledger = Ledger::default();
     let strike = |replica: u64| Strike {
         replica,
@@ -264,7 +264,7 @@
     ledger.merge(fingerprint(1), record, Role::Home, at(1000.0));
 }
 
-/// Whether two daemons have the same record after exchanging theirs.
+/// Whether two gateways have the same record after exchanging theirs.
 fn converge(one: Vec<(u8, u8)>, other: Vec<(u8, u8)>) -> bool {
     let mut ledgers = [Ledger::default(), Ledger::default()];
     one.into_iter()
@@ -272,7 +272,7 @@
     other
         .into_iter()
         .for_each(|step| apply_step(&mut ledgers[1], step));
-    // Each daemon merges the other's record, one of them twice; then both merge the result once more.
+    // Each gateway merges the other's record, one of them twice; then both merge the result once more.
     let (first, second) = (record_of(&ledgers[0]), record_of(&ledgers[1]));
     merge(&mut ledgers[0], second.clone());
     merge(&mut ledgers[0], second);
@@ -291,7 +291,7 @@
 
 #[test]
 fn records_converge_if_one_daemon_quarantined_and_the_other_cleared() {
-    // The daemon that had quarantined the request attributed the crash of another replica to it while it
+    // The gateway that had quarantined the request attributed the crash of another replica to it while it
     // merged the clearing. It thus missed that two crashes coincided, and noticed that only on the next
     // merge.
     let cleared = vec![(2, 0), (1, 0), (0, 0), (1, 93)];
@@ -301,7 +301,7 @@
 
 #[test]
 fn records_converge_if_more_crashes_coincide_than_a_record_keeps() {
-    // One daemon had dropped a strike, and then took that crash for the coinciding crash of another request.
+    // One gateway had dropped a strike, and then took that crash for the coinciding crash of another request.
     let few = vec![(2, 0), (4, 17)];
     let many = [5, 6, 1, 2, 3, 7].map(|replica| (replica, 17)).to_vec();
     assert!(converge(few, many));
@@ -309,13 +309,13 @@
 
 #[test]
 fn records_converge_if_the_first_common_crash_coincides_with_one_of_another_generation() {
-    // Found by the property test on a busy machine: two daemons had different records after exchanging them.
+    // Found by the property test on a busy machine: two gateways had different records after exchanging them.
     let one = vec![(2, 0), (1, 0), (0, 0), (1, 62)];
     let other = vec![(2, 62), (3, 0), (4, 1)];
     assert!(converge(one, other));
 }
 
-/// Found by the property test: two daemons that had exchanged records of crashes of eleven replicas and of
+/// Found by the property test: two gateways that had exchanged records of crashes of eleven replicas and of
 /// clearings had different records.
 #[test]
 fn records_with_many_crashes_converge() {
@@ -359,7 +359,7 @@
         assert_eq!(chosen, names(&all[7], number));
         *first.entry(chosen[0].clone()).or_insert(0) += 1;
     }
-    // 600 requests over 300 daemons: two each on average.
+    // 600 requests over 300 gateways: two each on average.
     let most = first.values().copied().max();
     assert!(most.is_some_and(|most: i32| most <= 12), "{most:?}");
 }
--- a/crates/gateway/tests/quarantine_beside.rs
+++ b/crates/gateway/tests/quarantine_beside.rs
@@ -27,7 +27,7 @@
     START + Duration::from_secs_f64(seconds)
 }
 
-/// Reports a crash to a home daemon of the request; the replica crashed at the second of its number.
+/// Reports a crash to a home gateway of the request; the replica crashed at the second of its number.
 fn strike(ledger: &mut Ledger, number: u128, replica: u64, now: f64) {
     let strike = Strike {
         replica,
@@ -326,7 +326,7 @@
     }
 }
 
-/// Reports a crash to a home daemon of the request, at the second of the replica's number, after the request
+/// Reports a crash to a home gateway of the request, at the second of the replica's number, after the request
 /// had run there for `ran` seconds.
 fn strike_after_run(ledger: &mut Ledger, number: u128, replica: u64, ran: f64) {
     let crashed_at = replica as f64;
@@ -382,7 +382,7 @@
     assert_eq!(of_poison, Verdict::Quarantined);
 }
 
-/// Regression test: the store keeps no times, so its crashes are assumed to be a second apart. Each daemon
+/// Regression test: the store keeps no times, so its crashes are assumed to be a second apart. Each gateway
 /// reads what it has written itself; crashes that had happened together thus moved apart and counted fully,
 /// and runs seemed to have started after them.
 #[test]
--- a/crates/gateway/tests/quarantine_crashes.rs
+++ b/crates/gateway/tests/quarantine_crashes.rs
@@ -18,7 +18,7 @@
     START + Duration::from_secs_f64(seconds)
 }
 
-/// Records a crash at a home daemon of the request, without delay.
+/// Records a crash at a home gateway of the request, without delay.
 fn strike(ledger: &mut Ledger, number: u128, replica: u64, moment: Duration) -> RecordUpdate {
     strike_of_run(ledger, number, replica, moment, None)
 }
@@ -44,9 +44,9 @@
 struct Workload {
     per_second: f64,
     run_seconds: f64,
-    /// Whether the home daemon of the body hears of the crashes of other replicas.
+    /// Whether the home gateway of the body hears of the crashes of other replicas.
     knows_other_crashes: bool,
-    /// Whether it knows when runs started; daemons of earlier versions don't report that.
+    /// Whether it knows when runs started; gateways of earlier versions don't report that.
     knows_run_starts: bool,
 }
 
@@ -183,7 +183,7 @@
                 break;
             };
             strike_of_run(&mut ledger, 1, send as u64, at(lost), Some(at(now)));
-            // The home daemon hears of at least one of the many other crashes.
+            // The home gateway hears of at least one of the many other crashes.
             strike(
                 &mut ledger,
                 2,
--- a/crates/gateway/tests/quarantine_lives.rs
+++ b/crates/gateway/tests/quarantine_lives.rs
@@ -1,4 +1,4 @@
-//! Crashes of replicas that restart under their ids, reported by daemons that have not heard of the restart
+//! Crashes of replicas that restart under their ids, reported by gateways that have not heard of the restart
 //! yet.
 
 use std::time::Duration;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Reports a strike to a home daemon of the request.
+/// Reports a strike to a home gateway of the request.
 fn strike(ledger: &mut Ledger, strike: Strike) -> RecordUpdate {
     ledger.strike(poison(), strike, Role::Home, strike.at)
 }
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_run_started_after_the_crash_of_its_incarnation_counts_for_the_next_one() {
-    // Regression test: a daemon that had not heard of the restart reported the crash of the second
+    // Regression test: a gateway that had not heard of the restart reported the crash of the second
     // incarnation under the first. The request had crashed that one too, so the second crash was lost.
     let mut ledger = Ledger::default();
     ledger.note_next_incarnation(FIRST, SECOND, START);
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_crash_belongs_to_the_incarnation_after_all_that_had_crashed_before() {
-    // A daemon that has missed two restarts.
+    // A gateway that has missed two restarts.
     let mut ledger = Ledger::default();
     ledger.note_next_incarnation(FIRST, SECOND, START);
     ledger.note_next_incarnation(SECOND, THIRD, START);
--- a/crates/gateway/tests/quarantine_ways.rs
+++ b/crates/gateway/tests/quarantine_ways.rs
@@ -1,7 +1,7 @@
 //! Compares by simulation three policies for requests that were open together with one that crashes replicas.
 //!
 //! Replicas restart a second after each crash. Poison requests arrive every 0.1 to 0.4 s and crash a replica
-//! after 40 ms; harmless ones arrive all the time and run for 0.4 s. What one daemon knows, all daemons know
+//! after 40 ms; harmless ones arrive all the time and run for 0.4 s. What one gateway knows, all gateways know
 //! at once.
 
 use std::collections::HashMap;
--- a/crates/gateway/tests/quota_leaders.rs
+++ b/crates/gateway/tests/quota_leaders.rs
@@ -7,7 +7,7 @@
 //! and the resumed leader added what its members had already reported to the other one. The logs showed
 //! refusals of ten tenants within 100 ms of the end of the freeze, and none before it.
 //!
-//! The test simulates daemons in virtual time, each with the real limits. They find out by polling who leads.
+//! The test simulates gateways in virtual time, each with the real limits. They find out by polling who leads.
 
 #[path = "support/quota_scene.rs"]
 mod quota_scene;
@@ -25,7 +25,7 @@
 /// The tenant's limit, in units per second.
 const RATE: f64 = 811_000.0;
 
-/// What all daemons together may admit in a window.
+/// What all gateways together may admit in a window.
 const WINDOW_LIMIT: f64 = window_limit(RATE);
 
 const STEP_MS: u64 = 10;
@@ -44,9 +44,9 @@
 #[derive(Clone, Debug)]
 enum Fault {
     None,
-    /// The first daemon of zone 0 freezes, and then processes everything that arrived meanwhile.
+    /// The first gateway of zone 0 freezes, and then processes everything that arrived meanwhile.
     LeaderFreezes(Period),
-    /// One daemon after the other is killed and restarts 0.3 s later, one per this many milliseconds, the
+    /// One gateway after the other is killed and restarts 0.3 s later, one per this many milliseconds, the
     /// leaders first.
     RollingRestart(u64),
     /// Zone 0 and the other zones can't reach each other.
@@ -60,7 +60,7 @@
     Member(WireUsage),
     /// From the leader of the own group, or forwarded by it.
     Group(WireGroupUsage),
-    /// From this leader of another group to the daemon of the receiver's group that reported last.
+    /// From this leader of another group to the gateway of the receiver's group that reported last.
     OtherGroup(usize, WireGroupUsage),
 }
 
@@ -70,10 +70,10 @@
     zone: usize,
     /// The number of consecutive polls that each member of the zone, by rank, has not answered.
     unanswered: Vec<u32>,
-    /// Until when the daemon is down or frozen, in milliseconds.
+    /// Until when the gateway is down or frozen, in milliseconds.
     unavailable_until: u64,
     inbox: Vec<(u64, Report)>,
-    /// The daemon of each zone that reported last.
+    /// The gateway of each zone that reported last.
     relays: [usize; ZONES],
 }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The rank of the member that this daemon takes for the leader of its zone.
+    /// The rank of the member that this gateway takes for the leader of its zone.
     fn leader(&self) -> usize {
         let leader = self.unanswered.iter().position(|count| *count < 2);
         leader.unwrap_or(0)
@@ -135,7 +135,7 @@
             let now_ms = step * STEP_MS;
             self.inject_faults(now_ms);
             self.deliver(now_ms);
-            // Traffic starts seconds after the daemons.
+            // Traffic starts seconds after the gateways.
             if now_ms >= 4000 {
                 self.request(now_ms, demand(now_ms as f64 / 1000.0));
             }
--- a/crates/gateway/tests/quota_standstill.rs
+++ b/crates/gateway/tests/quota_standstill.rs
@@ -1,9 +1,9 @@
-//! The usage of a group as seen by a daemon whose process stood still.
+//! The usage of a group as seen by a gateway whose process stood still.
 //!
-//! Guards against a fault found by review: reports that had waited in the socket of such a daemon were
+//! Guards against a fault found by review: reports that had waited in the socket of such a gateway were
 //! treated as sent when they were read. If their leader was gone by then, its group counted as reporting
 //! again. What had been assumed for the silence was then returned as unused although the group had kept
-//! admitting, and the daemon admitted up to a burst too much.
+//! admitting, and the gateway admitted up to a burst too much.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 const REPORT_MS: u64 = 50;
 const DELAY_MS: u64 = 3;
 
-/// When the daemon freezes, when the leader sends its last report, and when the daemon resumes.
+/// When the gateway freezes, when the leader sends its last report, and when the gateway resumes.
 const FREEZE_MS: u64 = 1900;
 const LAST_REPORT_MS: u64 = 2000;
 const RESUME_MS: u64 = 5000;
@@ -48,8 +48,8 @@
     group.apply_report(ms(now_ms), &report, Some(&totals))
 }
 
-/// A group whose leader reported until this daemon froze, and whose last reports are read after the daemon
-/// has resumed. Also returns the usage assumed and reported since the daemon froze.
+/// A group whose leader reported until this gateway froze, and whose last reports are read after the gateway
+/// has resumed. Also returns the usage assumed and reported since the gateway froze.
 fn group_after_standstill() -> (ReportedUsage, f64) {
     let mut group = ReportedUsage::default();
     for sent_ms in (0..FREEZE_MS).step_by(REPORT_MS as usize) {
--- a/crates/gateway/tests/quotas.rs
+++ b/crates/gateway/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Tenant limits enforced by hundreds of daemons together: simulated daemons that report to each other, in
+//! Tenant limits enforced by hundreds of gateways together: simulated gateways that report to each other, in
 //! virtual time, what they admitted.
 
 #[path = "support/quota_scene.rs"]
@@ -16,7 +16,7 @@
 /// The tenant's limit in these tests, in units per second.
 const RATE: f64 = 124_000.0;
 
-/// What all daemons together may admit in a window.
+/// What all gateways together may admit in a window.
 const WINDOW_LIMIT: f64 = window_limit(RATE);
 
 /// The step of the simulation; reports are sent every fifth step.
@@ -28,7 +28,7 @@
 
 const ZONES: usize = 5;
 
-/// A daemon; the first of each zone is its leader.
+/// A gateway; the first of each zone is its leader.
 struct Daemon {
     quotas: Quotas,
     life: u64,
@@ -55,7 +55,7 @@
     within.map(|(_, cost)| cost).sum()
 }
 
-/// Simulates `seconds` with `count` daemons, where the tenant requests `demand(seconds)` units per second,
+/// Simulates `seconds` with `count` gateways, where the tenant requests `demand(seconds)` units per second,
 /// and the share `skew(seconds)` of that in zone 0.
 fn simulate(
     seed: u64,
@@ -164,7 +164,7 @@
     for count in DAEMON_COUNTS {
         for seed in 1..=3 {
             let skew = |time: f64| if time < 15.0 { 0.0 } else { 0.9 };
-            // Traffic starts seconds after the daemons.
+            // Traffic starts seconds after the gateways.
             let demand = |time: f64| if time < 3.0 { 0.0 } else { RATE * 0.9 };
             let outcome = simulate(seed, count, 33, demand, skew, Fault::default());
             let refused = outcome.refused_share();
@@ -222,7 +222,7 @@
     }
 }
 
-/// The limits of a daemon that has known a tenant of 1,000 units per second for long, and the current time.
+/// The limits of a gateway that has known a tenant of 1,000 units per second for long, and the current time.
 fn full_quotas(tolerance: Tolerance) -> (Quotas, Instant) {
     let began = Instant::now();
     let quotas = Quotas::new(tolerance, began);
@@ -289,7 +289,7 @@
 
 #[test]
 fn usage_before_the_first_report_of_a_tenant_is_not_charged() {
-    // A daemon that has just started receives a leader's reports of other tenants only. If these counted as
+    // A gateway that has just started receives a leader's reports of other tenants only. If these counted as
     // totals of zero for this tenant, everything that it used since the leader started would count as used at
     // once when the leader reports it again.
     let began = Instant::now();
@@ -326,7 +326,7 @@
 
 #[test]
 fn a_report_of_a_leader_of_an_earlier_version_moves_the_baseline() {
-    // Otherwise a later leader would count everything that this daemon admitted since it started.
+    // Otherwise a later leader would count everything that this gateway admitted since it started.
     let began = Instant::now();
     let quotas = Quotas::new(TOLERANCE, began);
     let tenant = tenant(RATE);
--- a/crates/gateway/tests/readers.rs
+++ b/crates/gateway/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Which daemons read the store while it refuses some of them.
+//! Which gateways read the store while it refuses some of them.
 //!
 //! The tests guard against readers that alternate in an outage for the first in rank of a group (9 s). The second read
 //! the store instead and queried the first again after each skip period. The first relayed the second's own view, less
@@ -25,12 +25,12 @@
 /// The time to the next query after a usable reply.
 const ASK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The number of daemons of a group that may read the store if there are several groups.
+/// The number of gateways of a group that may read the store if there are several groups.
 const READERS: usize = 4;
 
 const STEP: Duration = Duration::from_millis(5);
 
-/// The time of the read from which a view comes, and the daemon that read.
+/// The time of the read from which a view comes, and the gateway that read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct View {
     read_at: Duration,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Queries once; `views` holds the views of all daemons.
+    /// Queries once; `views` holds the views of all gateways.
     fn ask(&mut self, now: Duration, is_failing: bool, views: &[(String, Option<View>)]) {
         if is_failing && self.reading_since.is_none() {
             self.chooser.on_store_failing(now, &self.own.name);
@@ -126,7 +126,7 @@
     }
 }
 
-/// Simulates daemons until `until`; the store refuses those for which `is_refused` is true from `since` on.
+/// Simulates gateways until `until`; the store refuses those for which `is_refused` is true from `since` on.
 fn simulate(
     daemons: &[WireDaemon],
     since: Duration,
@@ -149,7 +149,7 @@
             if !is_failing {
                 member.read(now);
             }
-            // Daemons query at different moments.
+            // Gateways query at different moments.
             let offset = STEP * u32::try_from(number % 20).unwrap_or(0);
             if now >= member.next_query_at + offset {
                 member.ask(now, is_failing, &views);
@@ -160,7 +160,7 @@
     members
 }
 
-/// How many times each daemon starts reading the store, and so lists everything, while the store doesn't answer the
+/// How many times each gateway starts reading the store, and so lists everything, while the store doesn't answer the
 /// first in rank of each group for 9 s.
 fn lists_in_outage(daemons: &[WireDaemon]) -> Vec<usize> {
     let is_first = |member: &Member| member.directory.group[0].name == member.own.name;
--- a/crates/gateway/tests/restart_of_all.rs
+++ b/crates/gateway/tests/restart_of_all.rs
@@ -1,8 +1,8 @@
-//! Which daemons read the store after all daemons of a large system were killed at once.
+//! Which gateways read the store after all gateways of a large system were killed at once.
 //!
-//! The tests guard against two failures. Each daemon that had just started queried the first of its group, which had no
+//! The tests guard against two failures. Each gateway that had just started queried the first of its group, which had no
 //! view yet, and treated that as a time-out. So it promoted readers further behind, until about a hundred of 300
-//! daemons listed all of 3,000 replicas. These lists and those that each daemon starts with filled the store's link,
+//! gateways listed all of 3,000 replicas. These lists and those that each gateway starts with filled the store's link,
 //! 1,000 Mbit/s, for three seconds, and nothing was served.
 //!
 //! Later all of 100 members queried one reader for all pages, although another one with an equally large machine had
@@ -17,10 +17,10 @@
 use driftspring_gateway::peers::message::WireDaemon;
 use driftspring_gateway::peers::source::{Source, SourceChooser};
 
-/// The number of daemons in each zone.
+/// The number of gateways in each zone.
 const MEMBERS: usize = 100;
 
-/// The number of daemons that may read the store for a group if there are several: the first four that reply.
+/// The number of gateways that may read the store for a group if there are several: the first four that reply.
 const READERS: usize = 4;
 
 /// The duration of a list of 3,000 replicas on a machine with a link of 10 Mbit/s.
@@ -32,7 +32,7 @@
 /// The time to the next query after one without a usable reply.
 const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The time to the next query if no other daemon is left to query, or after a usable reply.
+/// The time to the next query if no other gateway is left to query, or after a usable reply.
 const ASK_INTERVAL: Duration = Duration::from_millis(500);
 
 struct Member {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Advances to `now`; `informed` holds the names of the daemons that have all replicas.
+    /// Advances to `now`; `informed` holds the names of the gateways that have all replicas.
     fn step(&mut self, now: Duration, directory: &Directory, informed: &BTreeSet<String>) {
         if self
             .reading_since
@@ -146,7 +146,7 @@
 /// The number of machines in each zone with more capacity than the others.
 const LARGE_MACHINES: usize = 2;
 
-/// How many members of a group query each of the others, if [`LARGE_MACHINES`] of its daemons have more capacity and
+/// How many members of a group query each of the others, if [`LARGE_MACHINES`] of its gateways have more capacity and
 /// all have just started.
 fn asked_by_members(is_silent: impl Fn(&str) -> bool) -> BTreeMap<String, usize> {
     let daemons: Vec<WireDaemon> = (0..3 * MEMBERS)
--- a/crates/gateway/tests/spread.rs
+++ b/crates/gateway/tests/spread.rs
@@ -1,4 +1,4 @@
-//! How reports reach every member of a group, and which daemons of other groups receive them.
+//! How reports reach every member of a group, and which gateways of other groups receive them.
 
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/gateway/tests/support/daemons.rs
+++ b/crates/gateway/tests/support/daemons.rs
@@ -1,8 +1,8 @@
-//! Daemons in several zones with machines of equal capacity.
+//! Gateways in several zones with machines of equal capacity.
 
 use driftspring_gateway::peers::message::WireDaemon;
 
-/// A daemon in a zone.
+/// A gateway in a zone.
 pub fn daemon(name: &str, zone: &str) -> WireDaemon {
     WireDaemon {
         name: name.to_owned(),
@@ -12,7 +12,7 @@
     }
 }
 
-/// `count` daemons, assigned to the zones in turn.
+/// `count` gateways, assigned to the zones in turn.
 pub fn in_zones(count: usize, zones: &[&str]) -> Vec<WireDaemon> {
     (0..count)
         .map(|number| daemon(&format!("d{number}"), zones[number % zones.len()]))
--- a/crates/gateway/tests/support/quota_scene.rs
+++ b/crates/gateway/tests/support/quota_scene.rs
@@ -19,7 +19,7 @@
 /// The share of requests below the limit that may be refused.
 pub const MAX_REFUSED_SHARE: f64 = 0.005;
 
-/// What all daemons together may admit in a window for a tenant with this rate, which is also its burst.
+/// What all gateways together may admit in a window for a tenant with this rate, which is also its burst.
 pub const fn window_limit(rate: f64) -> f64 {
     (rate * WINDOW.as_secs() as f64 + rate) * (1.0 + TOLERANCE.overshoot) + TOLERANCE.slack
 }
