--- a/crates/gateway-program/src/quarantine.rs
+++ b/crates/gateway-program/src/quarantine.rs
@@ -73,11 +73,7 @@
 
 /// Why a request is held in quarantine or sent to replicas.
 fn reason(record: &QuarantineRecord, other_suspects: usize) -> String {
-    match (
-        record.is_quarantined,
-        other_suspects,
-        record.isolated_trials,
-    ) {
+    match (record.is_quarantined, other_suspects, record.apart_trials) {
         (false, ..) => "sent, once in each try: so few ends prove nothing".to_owned(),
         (true, _, trials) if trials > 0 => {
             format!("held: tried apart {trials} times without a whole answer")
@@ -96,11 +92,11 @@
         "{name} quarantined={} ended={} good_ends={} let_go={} replica_digests={} trials={} apart_trials={} why={:?}",
         record.is_quarantined,
         replicas.len(),
-        record.completions,
+        record.good_ends,
         record.generation,
         replicas.join(","),
         record.trials,
-        record.isolated_trials,
+        record.apart_trials,
         reason(record, other_suspects)
     );
 }
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -200,7 +200,7 @@
             .map(|(position, record)| WireLease {
                 revision: position.revision,
                 holder: record.holder.clone(),
-                incarnation: record.incarnation,
+                incarnation: record.life,
                 token: record.token,
                 renewal: record.renewal,
                 era: position.era.number(),
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -344,7 +344,7 @@
     if let Some(lease) = &reply.lease {
         let record = LeaseRecord {
             holder: lease.holder.clone(),
-            incarnation: lease.incarnation,
+            life: lease.incarnation,
             token: lease.token,
             renewal: lease.renewal,
             era: StoreEra::from_number(lease.writer_era),
--- a/crates/gateway/src/protocol/own_records.rs
+++ b/crates/gateway/src/protocol/own_records.rs
@@ -4,13 +4,13 @@
 
 use crate::store::StoreEra;
 
-/// The lease of a task that one gateway performs at a time.
+/// The lease of a task that one gateway performs at a time. Field names appear in log lines through `Debug`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseRecord {
     /// The machine that holds the lease; empty after the lease was released.
     pub holder: String,
     /// The incarnation of the gateway on that machine.
-    pub incarnation: u64,
+    pub life: u64,
     /// The fencing token, which increases with each acquisition.
     pub token: u64,
     /// Increases with each renewal.
@@ -32,7 +32,8 @@
     pub capacity: u32,
 }
 
-/// A request that crashed replicas; its object is named by the request's fingerprint.
+/// A request that crashed replicas; its object is named by the request's fingerprint. Field names appear in log lines
+/// through `Debug`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineRecord {
     /// How often the request was cleared before.
@@ -44,7 +45,7 @@
     /// How often the request was tried while in quarantine.
     pub trials: u32,
     /// The number of complete answers to the request since it first crashed a replica, over all generations.
-    pub completions: u32,
+    pub good_ends: u32,
     /// How often the request was tried in isolation from the other requests that were open when the replicas ended.
-    pub isolated_trials: u32,
+    pub apart_trials: u32,
 }
--- a/crates/gateway/src/quarantine/stored_state.rs
+++ b/crates/gateway/src/quarantine/stored_state.rs
@@ -27,7 +27,7 @@
         .iter()
         .all(|replica| kept.replicas.contains(replica));
     let says_quarantined = kept.is_quarantined >= own.is_quarantined;
-    let says_trials = kept.trials >= own.trials && kept.isolated_trials >= own.isolated_trials;
+    let says_trials = kept.trials >= own.trials && kept.apart_trials >= own.apart_trials;
     match says_replicas && says_quarantined && says_trials {
         true => StoredState::Current,
         false => StoredState::Outdated,
--- a/crates/gateway/src/rollout/lease.rs
+++ b/crates/gateway/src/rollout/lease.rs
@@ -256,7 +256,7 @@
             .filter(|seen| seen.is_from_read_era() && self.is_own_record(&seen.record))?;
         let record = LeaseRecord {
             holder: String::new(),
-            incarnation: 0,
+            life: 0,
             token: seen.record.token,
             renewal: seen.record.renewal + 1,
             era: self.era,
@@ -368,7 +368,7 @@
     }
 
     fn is_own_record(&self, record: &LeaseRecord) -> bool {
-        record.holder == self.machine && record.incarnation == self.incarnation
+        record.holder == self.machine && record.life == self.incarnation
     }
 
     /// Whether the object shows that another gateway holds the lease. A late write of an earlier era does not, since
@@ -397,7 +397,7 @@
         LeaseAction::Write {
             record: LeaseRecord {
                 holder: self.machine.clone(),
-                incarnation: self.incarnation,
+                life: self.incarnation,
                 token,
                 renewal,
                 era: self.era,
@@ -414,7 +414,7 @@
         Ok(ObjectContent::Lease(record)) if record.token < MAX_TOKEN => record.clone(),
         _ => LeaseRecord {
             holder: UNKNOWN_HOLDER.to_owned(),
-            incarnation: 0,
+            life: 0,
             token: token_bound(object.position),
             renewal: 0,
             era: object.position.era,
--- a/crates/gateway/src/store/quarantine.rs
+++ b/crates/gateway/src/store/quarantine.rs
@@ -253,7 +253,7 @@
             let stored = Stored {
                 position: Some(found.position),
                 is_quarantined: kept.is_quarantined,
-                isolated_trials: kept.isolated_trials,
+                isolated_trials: kept.apart_trials,
             };
             state.quarantine.note_stored(fingerprint, stored);
             true
@@ -274,8 +274,8 @@
         replicas: counted.map(|strike| strike.replica).collect(),
         is_quarantined: record.is_quarantined,
         trials: record.trials,
-        completions: record.completions,
-        isolated_trials: record.isolated_trials,
+        good_ends: record.completions,
+        apart_trials: record.isolated_trials,
     }
 }
 
@@ -350,10 +350,10 @@
         stored: Stored {
             position: Some(position),
             is_quarantined: content.is_quarantined,
-            isolated_trials: content.isolated_trials,
+            isolated_trials: content.apart_trials,
         },
-        completions: content.completions,
-        isolated_trials: content.isolated_trials,
+        completions: content.good_ends,
+        isolated_trials: content.apart_trials,
         ..Record::default()
     };
     let role = role(&state.peers.directory(), fingerprint, state.peers.own());
