--- a/crates/gateway/src/notices/mod.rs
+++ b/crates/gateway/src/notices/mod.rs
@@ -1,22 +1,22 @@
-//! What replicas say of themselves in the heads of their answers.
+//! Notices: what replicas report about themselves in the headers of their answers.
 //!
-//! A notice holds for one life of a replica. It is evidence beside the replica's entry in the store, which may lag or be out of
-//! reach, and beside its health, which is what this daemon observes.
+//! A notice holds for one incarnation of a replica. It complements the entry of the replica in the store, which
+//! may lag or be unreachable, and its health, which is what this gateway observes.
 //!
-//! - [`limit`]: how many requests a second a replica takes.
-//! - [`replica_notices`]: all that one life has said.
-//! - [`news`]: what other daemons are to be told.
-//! - [`survey`]: which replicas have said something.
-//! - `take`: takes the notices of an answer in.
+//! - [`limit`]: the request rate that a replica accepts.
+//! - [`replica_notices`]: everything that one incarnation has reported.
+//! - [`changed_notices`]: the changes of which other gateways are to be informed.
+//! - [`survey`]: the replicas that have reported something.
+//! - `record`: records the notices of an answer.
 
+pub mod changed_notices;
 pub mod limit;
-pub mod news;
+mod record;
 pub mod replica_notices;
 pub mod survey;
-mod take;
 
+pub use changed_notices::ChangedNotices;
 pub use limit::LimitNotice;
-pub use news::NoticeNews;
-pub use replica_notices::{Pause, PauseCause, ReplicaNotices, Rest};
+pub use record::{NoticeSource, record_answer, record_leaving, record_limit};
+pub use replica_notices::{Cooldown, Pause, PauseCause, ReplicaNotices};
 pub use survey::NoticeSurvey;
-pub use take::{Teller, note_answer, note_leaving, note_limit};
--- a/crates/gateway/src/peers/ask.rs
+++ b/crates/gateway/src/peers/ask.rs
@@ -1,4 +1,4 @@
-//! Asks the source again and again what is in force and what has changed.
+//! Queries the source periodically for the state in force and for changes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,59 +8,64 @@
 use driftspring_telemetry::log_event;
 
 use super::directory::name_digest;
-use super::message::{Ask, Message, Tell, WireDaemon, WireWeights};
+use super::message::{Message, SyncQuery, SyncReply, WireDaemon, WireWeights};
 use super::records;
 use super::send::send;
 use super::source::{Source, SourceChooser};
 use crate::currency::{NewerVersion, Proof};
 use crate::protocol::{LeaseRecord, ModelVersion};
-use crate::state::{GatewayState, JUST_STARTED};
-use crate::store::{StoreEra, StorePosition, name_weights, suspect_weights, take_told_era};
+use crate::state::{GatewayState, STARTUP_WINDOW};
+use crate::store::{
+    StoreEra, StorePosition, adopt_peer_era, record_wanted_weights, suspect_weights,
+};
 use crate::suspected_weights::Suspicion;
 use crate::weights::Since;
 
-/// Time between two questions.
+/// The time between two queries.
 const ASK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The same for the leader of a group, whose members learn from it: what they know is older by this time. With a view that its reader
-/// proves each 0.9 s, or 1.4 s while the store is slow, they are told one that is recent enough (1.7 s).
+/// The same for the leader of a group: its members learn from it, so their views are older by up to this time. With a
+/// reader that proves its view every 0.9 s, or every 1.4 s while the store is slow, the members' views stay recent
+/// enough (1.7 s).
 const LEADER_ASK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The same for a daemon that has just started and knows nothing yet: the others, which may have started with it, need some
-/// 100 ms to list the replicas, and nothing is served before. At 100 members of a group 1,000 questions of 60 bytes a second.
-const FIRST_ASK_INTERVAL: Duration = Duration::from_millis(100);
+/// The same for a gateway that has just started and has no view yet: the others, which may have started with it, need
+/// about 100 ms to list the replicas, and nothing is served before. A group of 100 members sends 1,000 queries of 60
+/// bytes a second.
+const STARTING_ASK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long an answer is waited for.
+/// How long to wait for a reply.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The age of the proof of the configuration from which on a daemon asks for one that finds nobody to tell it. A newer
-/// version must be in force 2 s after its acknowledgement on small sites and 3 s or more on those with several groups.
-const LONGEST_UNPROVED: Duration = Duration::from_millis(2000);
+/// The age of the proof of the configuration from which a gateway without a usable source requests a proof itself. A
+/// newer version must be in force 2 s after its acknowledgement on small sites, and after 3 s or more on sites with
+/// several groups.
+const MAX_PROOF_AGE: Duration = Duration::from_millis(2000);
 
-/// The shortest time between two questions.
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(25);
+/// The minimum time between two queries.
+const MIN_ASK_INTERVAL: Duration = Duration::from_millis(25);
 
-type Answers = tokio::sync::mpsc::UnboundedReceiver<Tell>;
+type Replies = tokio::sync::mpsc::UnboundedReceiver<SyncReply>;
 
-/// Asks the source again and again.
+/// Queries the source in an endless loop.
 pub(super) async fn ask(
     state: Rc<GatewayState>,
     socket: Rc<tokio::net::UdpSocket>,
-    mut answers: Answers,
+    mut replies: Replies,
 ) {
     let mut chooser = SourceChooser::default();
     loop {
-        state.take_reloaded();
-        state.forget_lapsed();
+        state.apply_reloaded_settings();
+        state.remove_lapsed();
         let directory = state.peers.directory();
-        state.budgets.set_daemons(directory.count);
+        state.retry_budgets.set_gateways(directory.count);
         state
             .quotas
             .set_groups(&directory.group_name, directory.other_groups.len() + 1);
         let group = state.peers.group(&directory);
         let others = directory.first_of_other_groups();
-        chooser.set_just_started(state.now() < JUST_STARTED);
-        if state.store_outage.is_on() && !state.peers.is_reader.get() {
+        chooser.set_just_started(state.now() < STARTUP_WINDOW);
+        if state.store_outage.is_active() && !state.peers.is_reader.get() {
             chooser.on_store_failing(state.now(), &state.peers.own.name);
         }
         let source = chooser.choose(state.now(), &group, &others, &state.peers.own.name);
@@ -71,27 +76,27 @@
         let leader = chooser.leader(&group);
         state.peers.set_leader(leader);
         let leader = leader.map(|leader| name_digest(&leader.name));
-        // No daemon's name has the digest 0: nobody leads.
+        // No gateway's name has the digest 0, so 0 means that there is no leader.
         state.quotas.set_leader(leader.unwrap_or(0));
         let is_relay = state.peers.is_leader.get() && !others.is_empty();
-        state.peers.far.set_relay(is_relay);
+        state.peers.prompt_relay.set_relay(is_relay);
         state.peers.source.replace(source.address());
         let has_more = match source {
             Source::Daemon(daemon) => {
-                ask_daemon(&state, &socket, &daemon, &mut chooser, &mut answers).await
+                ask_daemon(&state, &socket, &daemon, &mut chooser, &mut replies).await
             }
             Source::Store => {
                 let reading = state.now().saturating_sub(state.peers.reader_since.get());
                 let own = &state.peers.own.name;
-                chooser.on_store(state.now(), own, reading, state.peers.view_age());
-                if chooser.is_everybody_stale(state.now(), state.peers.view_age()) {
+                chooser.on_store_view(state.now(), own, reading, state.peers.view_age());
+                if chooser.is_store_down_for_all(state.now(), state.peers.view_age()) {
                     log_event!(
                         gateway::STORE_DOWN_FOR_ALL,
                         "reading={reading:?} view_age={:?}",
                         state.peers.view_age()
                     );
-                    if let Some(at) = state.store_outage.was_down_at() {
-                        state.weights.borrow_mut().store_was_down(at);
+                    if let Some(at) = state.store_outage.last_seen_down_at() {
+                        state.weights.borrow_mut().note_store_down(at);
                     }
                 }
                 false
@@ -99,25 +104,25 @@
         };
         let pause = match has_more {
             true => Duration::ZERO,
-            false => pause_until_work(&state, chooser.longest_view_age()),
+            false => next_pause(&state, chooser.max_view_age()),
         };
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = state.peers.ask_now.notified() => tokio::time::sleep(SHORTEST_INTERVAL).await,
+            () = state.peers.ask_now.notified() => tokio::time::sleep(MIN_ASK_INTERVAL).await,
         }
     }
 }
 
-/// The time until the next question, until the view is too old, or until a replica goes out of use whose entry has not
-/// come back.
-fn pause_until_work(state: &GatewayState, longest_view_age: Duration) -> Duration {
+/// The time until the next query, until the view is too old, or until a replica whose entry has not come back goes out
+/// of use, whichever is first.
+fn next_pause(state: &GatewayState, max_view_age: Duration) -> Duration {
     let next_lapse = state.registry.next_lapse();
     let until_lapse = next_lapse.map(|at| at.saturating_duration_since(Instant::now()));
     let until_too_old = state
         .peers
         .view_age()
-        .and_then(|age| longest_view_age.checked_sub(age))
-        .map(|left| left + SHORTEST_INTERVAL);
+        .and_then(|age| max_view_age.checked_sub(age))
+        .map(|left| left + MIN_ASK_INTERVAL);
     let soonest = until_lapse.into_iter().chain(until_too_old).min();
     let interval = ask_interval(state);
     soonest.map_or(interval, |until| until.min(interval))
@@ -125,8 +130,8 @@
 
 fn ask_interval(state: &GatewayState) -> Duration {
     let knows_nothing = state.peers.view_age().is_none();
-    if knows_nothing && state.now() < JUST_STARTED {
-        return FIRST_ASK_INTERVAL;
+    if knows_nothing && state.now() < STARTUP_WINDOW {
+        return STARTING_ASK_INTERVAL;
     }
     match state.peers.is_leader.get() {
         true => LEADER_ASK_INTERVAL,
@@ -134,9 +139,8 @@
     }
 }
 
-/// Takes in where this daemon learns what is in force. It reads the store until another daemon has answered with
-/// something recent: where many start together the first in rank may know nothing yet, and others rely on those
-/// that do.
+/// Records the source of this gateway's state. This gateway reads the store until another gateway has replied with a recent
+/// view: when many start together, the first in rank may have no view yet, and others rely on gateways that have one.
 fn set_source(state: &GatewayState, source: &Source) {
     let is_reader = *source == Source::Store;
     if state.peers.is_reader.replace(is_reader) != is_reader {
@@ -147,139 +151,161 @@
             state.store_outage.list_failed_at().map(|at| at.elapsed())
         );
         state.peers.reader_since.set(state.now());
-        state.peers.learnt_elsewhere();
+        state.peers.reset_followed_log();
         state.peers.reader_changed.notify_waiters();
     }
 }
 
-/// Asks one daemon; true where it has more to tell.
+/// Queries one gateway; true if it has more changes to send.
 async fn ask_daemon(
     state: &Rc<GatewayState>,
     socket: &tokio::net::UdpSocket,
     daemon: &WireDaemon,
     chooser: &mut SourceChooser,
-    answers: &mut Answers,
+    replies: &mut Replies,
 ) -> bool {
     let peers = &state.peers;
     let nonce = peers.next_nonce();
-    let (log, sequence, content) = peers.followed.borrow_mut().question(&peers.log.borrow());
-    let question = Message::Ask(Ask {
+    let (log_id, sequence, content_digest) = peers
+        .followed
+        .borrow_mut()
+        .query_fields(&peers.log.borrow());
+    let query = Message::SyncQuery(SyncQuery {
         nonce,
-        log,
+        log_id,
         sequence,
-        content,
-        quarantine: Some(records::digest(state)),
+        content_digest,
+        quarantine_digest: Some(records::digest(state)),
         store_era: state.store_eras.known().number(),
-        configuration: state.held_version(),
-        takes_packed: true,
+        configuration_version: state.configuration_version(),
+        accepts_packed: true,
     });
     let sent_at = Instant::now();
-    send(socket, &question, &daemon.peers).await;
-    let answer = tokio::time::timeout(ANSWER_TIMEOUT, matching(answers, nonce)).await;
-    let Ok(Some(mut answer)) = answer else {
-        chooser.on_silence(state.now());
-        chooser.on_useless(peers.view_age());
+    send(socket, &query, &daemon.peers).await;
+    let reply = tokio::time::timeout(ANSWER_TIMEOUT, matching_reply(replies, nonce)).await;
+    let Ok(Some(mut reply)) = reply else {
+        chooser.on_timeout(state.now());
+        chooser.on_unusable_reply(peers.view_age());
         peers.ask_now.notify_one();
         return false;
     };
-    answer.unpack();
-    take_told_era(state, answer.store_era, &daemon.name);
+    reply.unpack();
+    adopt_peer_era(state, reply.store_era, &daemon.name);
     if let Ok(address) = daemon.peers.parse() {
-        peers.note_configuration(answer.configuration, address);
-        records::reconcile(state, socket, answer.quarantine, address).await;
+        peers.record_configuration_holder(reply.configuration_version, address);
+        records::reconcile(state, socket, reply.quarantine_digest, address).await;
     }
-    let view_age = answer.view_age_ms.map(Duration::from_millis);
-    if let Some(at) = moment_before(sent_at, answer.store_down_age_ms) {
-        state.weights.borrow_mut().store_was_down(at);
+    let view_age = reply.view_age_ms.map(Duration::from_millis);
+    if let Some(at) = moment_before(sent_at, reply.store_down_age_ms) {
+        state.weights.borrow_mut().note_store_down(at);
     }
-    let proof_age = answer.proof_age_ms.map(Duration::from_millis);
-    if !chooser.on_answer(state.now(), view_age, proof_age) {
-        chooser.on_useless(peers.view_age());
+    let proof_age = reply.proof_age_ms.map(Duration::from_millis);
+    if !chooser.on_reply(state.now(), view_age, proof_age) {
+        chooser.on_unusable_reply(peers.view_age());
         if !chooser.is_last_resort() {
             peers.ask_now.notify_one();
-        } else if !state.currency.is_within(LONGEST_UNPROVED) {
-            state.currency.want();
+        } else if !state.currency.is_within(MAX_PROOF_AGE) {
+            state.currency.request_proof();
         }
         return false;
     }
     let own_log = peers.log.borrow().id();
-    if answer.view_reader == Some(own_log) {
-        log::debug!("{} learns from this daemon", daemon.name);
+    if reply.view_reader_log == Some(own_log) {
+        log::debug!(
+            "{} relays the view of this daemon; querying another one",
+            daemon.name
+        );
         chooser.on_own_view(state.now());
         peers.ask_now.notify_one();
         return false;
     }
-    if peers.followed.borrow().is_behind(&answer, peers.view_age()) {
-        log::debug!("{} is behind: its view is {view_age:?} old", daemon.name);
-        chooser.on_behind(state.now());
+    if peers
+        .followed
+        .borrow()
+        .has_older_view(&reply, peers.view_age())
+    {
+        log::debug!(
+            "the view of {} is {view_age:?} old, older than the own one; querying another daemon",
+            daemon.name
+        );
+        chooser.on_older_view(state.now());
         peers.ask_now.notify_one();
         return false;
     }
     set_source(state, &Source::Daemon(daemon.clone()));
-    take_answer(state, answer, sent_at).await
+    apply_reply(state, reply, sent_at).await
 }
 
-async fn matching(answers: &mut Answers, nonce: u64) -> Option<Tell> {
+async fn matching_reply(replies: &mut Replies, nonce: u64) -> Option<SyncReply> {
     loop {
-        let answer = answers.recv().await?;
-        if answer.nonce == nonce {
-            return Some(answer);
+        let reply = replies.recv().await?;
+        if reply.nonce == nonce {
+            return Some(reply);
         }
     }
 }
 
-/// Takes in an answer; true where more is to come.
-async fn take_answer(state: &Rc<GatewayState>, answer: Tell, sent_at: Instant) -> bool {
-    let proof = proof_in(&answer, sent_at);
-    if let Some((began, position)) = proof.and_then(|proof| Some((proof.began, proof.position?))) {
+/// Applies a reply; true if more changes follow.
+async fn apply_reply(state: &Rc<GatewayState>, reply: SyncReply, sent_at: Instant) -> bool {
+    let proof = proof_in(&reply, sent_at);
+    if let Some((began, position)) =
+        proof.and_then(|proof| Some((proof.started_at, proof.position?)))
+    {
         let mut progress = state.store_progress.borrow_mut();
         progress.note(began, position);
     }
-    take_weights_and_lease(state, &answer, sent_at);
-    take_changes(state, &answer);
-    let knows_all = state.peers.followed.borrow().knows_all();
-    if knows_all {
-        state.peers.note_daemons_known();
+    apply_weights_and_lease(state, &reply, sent_at);
+    apply_changes(state, &reply);
+    let is_complete = state.peers.followed.borrow().is_complete();
+    if is_complete {
+        state.peers.set_daemons_known();
     }
-    if let Some(moment) = moment_before(sent_at, answer.view_age_ms).filter(|_| knows_all) {
-        state.peers.prove_told_view(moment, answer.view_reader);
+    if let Some(moment) = moment_before(sent_at, reply.view_age_ms).filter(|_| is_complete) {
+        state
+            .peers
+            .prove_relayed_view(moment, reply.view_reader_log);
     }
-    let known = state.held_version();
-    if known < answer.configuration {
-        let version = answer.configuration;
+    let known = state.configuration_version();
+    if known < reply.configuration_version {
+        let version = reply.configuration_version;
         match proof {
-            Some(proof) => state.currency.want_version(NewerVersion { version, proof }),
+            Some(proof) => state
+                .currency
+                .request_version(NewerVersion { version, proof }),
             None => {
                 state.currency.note_version(version);
-                state.currency.want();
+                state.currency.request_proof();
             }
         }
-        return answer.has_more;
+        return reply.has_more;
     }
-    if known == answer.configuration
+    if known == reply.configuration_version
         && let Some(proof) = proof
     {
         state.currency.prove(known, proof);
     }
     state.refresh_readiness();
-    answer.has_more
+    reply.has_more
 }
 
-/// The read that proved the configuration in an answer.
-fn proof_in(answer: &Tell, sent_at: Instant) -> Option<Proof> {
-    let began = moment_before(sent_at, answer.proof_age_ms)?;
-    let position = answer.proof_revision.map(|revision| StorePosition {
-        era: StoreEra::told(answer.store_era),
+/// The read that proved the configuration in a reply.
+fn proof_in(reply: &SyncReply, sent_at: Instant) -> Option<Proof> {
+    let started_at = moment_before(sent_at, reply.proof_age_ms)?;
+    let position = reply.proof_revision.map(|revision| StorePosition {
+        era: StoreEra::from_number(reply.store_era),
         revision,
     });
-    Some(Proof { began, position })
+    Some(Proof {
+        started_at,
+        position,
+    })
 }
 
-/// How far the store has come, as an answer tells.
-fn position_in(answer: &Tell) -> StorePosition {
+/// The store's position according to a reply.
+fn position_in(reply: &SyncReply) -> StorePosition {
     StorePosition {
-        era: StoreEra::told(answer.store_era),
-        revision: answer.store_revision,
+        era: StoreEra::from_number(reply.store_era),
+        revision: reply.store_revision,
     }
 }
 
@@ -287,47 +313,47 @@
     sent_at.checked_sub(Duration::from_millis(age_ms?))
 }
 
-/// The weights that an answer tells, and since when they count.
-fn weights_in(told: &WireWeights, sent_at: Instant) -> (ModelVersion, Since) {
+/// The weights in a reply, and since when they are wanted.
+fn weights_in(wire: &WireWeights, sent_at: Instant) -> (ModelVersion, Since) {
     let weights = ModelVersion {
-        model: told.model.clone(),
-        version: told.version,
+        model: wire.model.clone(),
+        version: wire.version,
     };
-    // Their age grew on the way of the answer; that of the question counts as well, which is the safe side.
-    let since = moment_before(sent_at, Some(told.age_ms)).unwrap_or(sent_at);
-    let since = match told.is_assumed {
+    // The age kept growing while the reply was in transit; the transit time of the query is added too, to be safe.
+    let since = moment_before(sent_at, Some(wire.age_ms)).unwrap_or(sent_at);
+    let since = match wire.is_assumed {
         true => Since::Assumed(since),
         false => Since::Known(since),
     };
     (weights, since)
 }
 
-fn take_weights_and_lease(state: &GatewayState, answer: &Tell, sent_at: Instant) {
-    for told in &answer.weights {
-        let (named, since) = weights_in(told, sent_at);
-        name_weights(state, &named, since);
+fn apply_weights_and_lease(state: &GatewayState, reply: &SyncReply, sent_at: Instant) {
+    for wire in &reply.weights {
+        let (named, since) = weights_in(wire, sent_at);
+        record_wanted_weights(state, &named, since);
     }
-    for told in &answer.suspected {
-        let (weights, since) = weights_in(told, sent_at);
+    for wire in &reply.suspected_weights {
+        let (weights, since) = weights_in(wire, sent_at);
         suspect_weights(state, Suspicion { weights, since }, "told by a daemon");
     }
-    if let Some(moment) = moment_before(sent_at, answer.view_age_ms) {
+    if let Some(moment) = moment_before(sent_at, reply.view_age_ms) {
         state.known_namings.note_told(moment);
     }
-    state.lease.borrow_mut().on_token(answer.highest_token);
-    if let Some(lease) = &answer.lease {
+    state.lease.borrow_mut().on_token(reply.highest_token);
+    if let Some(lease) = &reply.lease {
         let record = LeaseRecord {
             holder: lease.holder.clone(),
-            life: lease.life,
+            life: lease.incarnation,
             token: lease.token,
             renewal: lease.renewal,
-            era: StoreEra::told(lease.written_in),
+            era: StoreEra::from_number(lease.writer_era),
         };
         let now = state.now();
         let mut known = state.lease.borrow_mut();
-        known.on_store_position(now, position_in(answer));
+        known.on_store_position(now, position_in(reply));
         let position = StorePosition {
-            era: StoreEra::told(lease.era),
+            era: StoreEra::from_number(lease.era),
             revision: lease.revision,
         };
         known.on_list(now, Some((position, record)));
@@ -336,15 +362,15 @@
     }
 }
 
-fn take_changes(state: &GatewayState, answer: &Tell) {
+fn apply_changes(state: &GatewayState, reply: &SyncReply) {
     let changes = {
         let own = state.peers.log.borrow();
-        state.peers.followed.borrow_mut().take(answer, &own)
+        state.peers.followed.borrow_mut().apply(reply, &own)
     };
     for change in changes {
         state.apply(change);
     }
-    if !answer.has_more {
-        state.registry_changed();
+    if !reply.has_more {
+        state.publish_changes();
     }
 }
--- a/crates/gateway/src/peers/cached.rs
+++ b/crates/gateway/src/peers/cached.rs
@@ -1,8 +1,8 @@
-//! Tells the daemons of a group what stores of cached prompt work keep.
+//! Replicates the contents of prompt-cache stores to the gateways of a group.
 //!
-//! The leader of the group follows the events of the stores, gathers them and sends them to the members in
-//! datagrams. A member that has just started, or has missed that a store began a new life, asks for all that is
-//! kept, page by page. A datagram that is lost costs a part that is copied or read again, nothing else.
+//! The leader of the group follows the events of the stores and sends them to the members in batches. A member that has
+//! just started, or missed that a store was restarted, fetches the whole contents page by page. The only cost of a lost
+//! datagram is that a part of a prompt is copied or prefilled again.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,37 +10,37 @@
 
 use tokio::sync::mpsc::UnboundedReceiver;
 
-use super::message::{AskCached, Message, Report, TellCached, WireCached};
+use super::message::{CachedQuery, CachedReply, Message, Report, WireCached};
 use super::send::send;
 use super::spread::spread;
-use crate::cache::{CachedNews, KeptChange, stores};
+use crate::cache::{CacheUpdate, CachedPartChange, configured_stores};
 use crate::state::GatewayState;
 
-/// Changes of one datagram, which so stays below 1,200 bytes: a change takes up to 17 of them.
+/// The number of changes in a datagram, which keeps it below 1,200 bytes: a change takes up to 17 of them.
 pub const MAX_CHANGES: usize = 56;
 
-/// What the fields of one store's news take beside its changes, counted in changes.
-const NEWS_FIELDS: usize = 5;
+/// The size of the other fields of one store's entry in a datagram, counted in changes.
+const HEADER_CHANGES: usize = 5;
 
-/// How long changes gather before they are told. Copying a prompt to a store takes some hundred milliseconds, so
-/// few requests could use the news sooner.
-const GATHERING: Duration = Duration::from_millis(100);
+/// How long changes are batched. Copying a prompt to a store takes several hundred milliseconds, so few requests could
+/// use the information sooner.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// How long a page is waited for.
+/// How long to wait for a page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The pause between two looks for stores of which nothing is known.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// The initial pause between two checks for stores with unknown contents.
+const INITIAL_PAUSE: Duration = Duration::from_millis(250);
 
-/// The longest such pause: a store that does not answer stays unknown until the leader hears of it again, and then
-/// the leader tells all that it keeps.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+/// The maximum such pause: a store that doesn't answer stays unknown until the leader reaches it again, and the leader
+/// then sends its whole contents.
+const MAX_PAUSE: Duration = Duration::from_secs(8);
 
-/// Tells the group what this daemon learns of the stores, for ever.
-pub(super) async fn tell(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
+/// Sends to the group what this gateway learns of the stores, in an endless loop.
+pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
-        state.peers.cached_gathered.notified().await;
-        tokio::time::sleep(GATHERING).await;
+        state.peers.cached_news_added.notified().await;
+        tokio::time::sleep(BATCH_DELAY).await;
         let gathered = std::mem::take(&mut *state.peers.cached_news.borrow_mut());
         for datagram in pack(gathered) {
             spread(&state, &socket, Report::Cached(datagram)).await;
@@ -48,26 +48,26 @@
     }
 }
 
-/// Shares out news among datagrams, in their order.
-pub fn pack(gathered: Vec<CachedNews>) -> Vec<Vec<WireCached>> {
+/// Distributes changes among datagrams, in order.
+pub fn pack(gathered: Vec<CacheUpdate>) -> Vec<Vec<WireCached>> {
     let mut datagrams: Vec<Vec<WireCached>> = Vec::new();
-    let mut room = 0;
+    let mut remaining = 0;
     for news in gathered {
         let mut rest = news.changes.as_slice();
         let mut is_first = true;
         while is_first || !rest.is_empty() {
-            if room <= NEWS_FIELDS {
+            if remaining <= HEADER_CHANGES {
                 datagrams.push(Vec::new());
-                room = MAX_CHANGES + NEWS_FIELDS;
+                remaining = MAX_CHANGES + HEADER_CHANGES;
             }
-            let (part, later) = rest.split_at(rest.len().min(room - NEWS_FIELDS));
+            let (part, later) = rest.split_at(rest.len().min(remaining - HEADER_CHANGES));
             let mut wire = WireCached::from(&news);
             wire.is_from_start &= is_first;
             wire.changes = wire_changes(part);
             if let Some(datagram) = datagrams.last_mut() {
                 datagram.push(wire);
             }
-            room = room.saturating_sub(NEWS_FIELDS + part.len());
+            remaining = remaining.saturating_sub(HEADER_CHANGES + part.len());
             rest = later;
             is_first = false;
         }
@@ -75,57 +75,58 @@
     datagrams
 }
 
-/// Takes in what the leader tells.
-pub(super) fn take(state: &GatewayState, told: &[WireCached]) {
-    for news in told.iter().filter_map(WireCached::to_news) {
-        state.cached.take(&news);
+/// Applies changes from the leader.
+pub(super) fn apply(state: &GatewayState, updates: &[WireCached]) {
+    for news in updates.iter().filter_map(WireCached::to_news) {
+        state.cached.apply(&news);
     }
 }
 
-/// The page that is asked for.
-pub(super) fn answer(state: &GatewayState, question: &AskCached) -> Option<TellCached> {
-    let store: SocketAddr = question.store.parse().ok()?;
-    let page = state.cached.with(store, |kept| TellCached {
-        nonce: question.nonce,
+/// The requested page, or `None` if the store's address is invalid.
+pub(super) fn answer(state: &GatewayState, query: &CachedQuery) -> Option<CachedReply> {
+    let store: SocketAddr = query.store.parse().ok()?;
+    let page = state.cached.with_store(store, |kept| CachedReply {
+        nonce: query.nonce,
         epoch: kept.epoch,
         next: kept.next,
-        is_known: kept.is_informed,
-        changes: wire_changes(&kept.page(question.after, MAX_CHANGES)),
+        is_known: kept.is_known,
+        changes: wire_changes(&kept.page(query.after, MAX_CHANGES)),
     });
     Some(page)
 }
 
-/// Asks the source of this daemon for what stores keep of which nothing is known here, for ever.
+/// Fetches the contents of unknown stores from this gateway's source, in an endless loop.
 pub(super) async fn catch_up(
     state: Rc<GatewayState>,
     socket: Rc<tokio::net::UdpSocket>,
-    mut pages: UnboundedReceiver<TellCached>,
+    mut pages: UnboundedReceiver<CachedReply>,
 ) {
-    let mut pause = FIRST_PAUSE;
+    let mut pause = INITIAL_PAUSE;
     loop {
         tokio::time::sleep(pause).await;
-        let is_informed = |store: &SocketAddr| state.cached.is_informed(*store);
-        let unknown: Vec<SocketAddr> = stores(&state)
+        let is_informed = |store: &SocketAddr| state.cached.is_known(*store);
+        let unknown: Vec<SocketAddr> = configured_stores(&state)
             .into_iter()
             .filter(|store| !is_informed(store))
             .collect();
         if unknown.is_empty() {
-            pause = FIRST_PAUSE;
+            pause = INITIAL_PAUSE;
             continue;
         }
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_PAUSE);
         for store in unknown {
             fetch(&state, &socket, store, &mut pages).await;
         }
     }
 }
 
-/// Fetches all that `store` keeps, page by page; ends where a page does not come or the source knows nothing.
+/// Fetches the contents of `store` page by page; stops when a page doesn't arrive or the source doesn't know the
+/// contents.
 async fn fetch(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
     store: SocketAddr,
-    pages: &mut UnboundedReceiver<TellCached>,
+    pages: &mut UnboundedReceiver<CachedReply>,
 ) {
     let mut after = None;
     loop {
@@ -133,22 +134,24 @@
             return;
         };
         let nonce = state.peers.next_nonce();
-        let question = AskCached {
+        let query = CachedQuery {
             nonce,
             store: store.to_string(),
             after,
         };
-        send(socket, &Message::AskCached(question), &source).await;
-        let page = tokio::time::timeout(PAGE_TIMEOUT, matching(pages, nonce)).await;
+        send(socket, &Message::CachedQuery(query), &source).await;
+        let page = tokio::time::timeout(PAGE_TIMEOUT, matching_reply(pages, nonce)).await;
         let Ok(Some(page)) = page else {
-            log::debug!("no page of what {store} keeps came from {source}");
+            log::debug!(
+                "no page of the contents of {store} arrived from {source} within {PAGE_TIMEOUT:?}"
+            );
             return;
         };
         if !page.is_known {
             return;
         }
-        let changes: Vec<KeptChange> = page.changes.iter().map(kept_change).collect();
-        let news = CachedNews {
+        let changes: Vec<CachedPartChange> = page.changes.iter().map(kept_change).collect();
+        let news = CacheUpdate {
             store,
             epoch: page.epoch,
             next: page.next,
@@ -156,7 +159,7 @@
             is_from_start: after.is_none(),
             changes,
         };
-        state.cached.take(&news);
+        state.cached.apply(&news);
         match news.changes.last() {
             Some(last) if news.changes.len() == MAX_CHANGES => after = Some(last.part),
             _ => return,
@@ -164,7 +167,10 @@
     }
 }
 
-async fn matching(pages: &mut UnboundedReceiver<TellCached>, nonce: u64) -> Option<TellCached> {
+async fn matching_reply(
+    pages: &mut UnboundedReceiver<CachedReply>,
+    nonce: u64,
+) -> Option<CachedReply> {
     loop {
         let page = pages.recv().await?;
         if page.nonce == nonce {
@@ -173,9 +179,9 @@
     }
 }
 
-impl From<&CachedNews> for WireCached {
-    /// The news without their changes.
-    fn from(news: &CachedNews) -> Self {
+impl From<&CacheUpdate> for WireCached {
+    /// The fields without the changes.
+    fn from(news: &CacheUpdate) -> Self {
         Self {
             store: news.store.to_string(),
             epoch: news.epoch,
@@ -188,9 +194,9 @@
 }
 
 impl WireCached {
-    /// The news; nothing where the address can't be read.
-    pub fn to_news(&self) -> Option<CachedNews> {
-        Some(CachedNews {
+    /// The changes, or `None` if the address is invalid.
+    pub fn to_news(&self) -> Option<CacheUpdate> {
+        Some(CacheUpdate {
             store: self.store.parse().ok()?,
             epoch: self.epoch,
             next: self.next,
@@ -201,15 +207,15 @@
     }
 }
 
-fn wire_changes(changes: &[KeptChange]) -> Vec<(u64, u32)> {
+fn wire_changes(changes: &[CachedPartChange]) -> Vec<(u64, u32)> {
     changes
         .iter()
         .map(|change| (change.part, change.tokens))
         .collect()
 }
 
-fn kept_change(change: &(u64, u32)) -> KeptChange {
-    KeptChange {
+fn kept_change(change: &(u64, u32)) -> CachedPartChange {
+    CachedPartChange {
         part: change.0,
         tokens: change.1,
     }
--- a/crates/gateway/src/peers/change_log.rs
+++ b/crates/gateway/src/peers/change_log.rs
@@ -1,17 +1,17 @@
-//! Replicas and daemons in the order in which they changed.
+//! Replicas and gateways in the order in which they changed.
 //!
-//! Each item stands once, at its last change, so the log is never longer than what it describes and the
-//! tombstones of what is gone, of which only the newest are kept. A daemon that has the changes
-//! up to some number gets those after it; one that has another log, or has missed tombstones, gets everything.
+//! Each item occurs once, at its last change, so the log has one entry for each item and for each tombstone of a
+//! removed item, of which only the newest are kept. A gateway that has the changes up to some number gets the later
+//! ones; a gateway that followed another log, or missed discarded tombstones, gets everything.
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::message::{Ask, Change, Item, ItemKey};
+use super::message::{Change, Item, ItemKey, SyncQuery};
 
-/// Tombstones that are kept.
+/// The number of tombstones that are kept.
 const MAX_TOMBSTONES: usize = 256;
 
-/// The changes of one life of a daemon.
+/// The change log of one incarnation of a gateway.
 #[derive(Debug)]
 pub struct ChangeLog {
     id: u64,
@@ -19,24 +19,24 @@
     changes: BTreeMap<u64, Change>,
     sequence_by_key: HashMap<ItemKey, u64>,
     tombstones: BTreeMap<u64, ItemKey>,
-    forgotten: u64,
-    content: u64,
+    discarded_up_to: u64,
+    content_digest: u64,
     daemon_changes: u64,
 }
 
-/// A part of a log.
+/// A page of a log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogPage {
-    /// The changes.
+    /// The changes, in order.
     pub changes: Vec<Change>,
-    /// The last change that they go up to.
+    /// The number of the last change up to which the page is complete.
     pub sequence: u64,
-    /// Whether they begin at the beginning.
+    /// Whether the page starts at the beginning of the log.
     pub is_from_start: bool,
-    /// Whether more follow.
+    /// Whether more changes follow.
     pub has_more: bool,
-    /// Whether the asking daemon has every item already, whatever log it followed.
-    pub is_same: bool,
+    /// Whether the querying gateway already has every item, regardless of the log that it followed.
+    pub has_same_items: bool,
 }
 
 impl ChangeLog {
@@ -48,13 +48,13 @@
             changes: BTreeMap::new(),
             sequence_by_key: HashMap::new(),
             tombstones: BTreeMap::new(),
-            forgotten: 0,
-            content: 0,
+            discarded_up_to: 0,
+            content_digest: 0,
             daemon_changes: 0,
         }
     }
 
-    /// How often a daemon has come, changed or gone.
+    /// The number of times that a gateway was added, changed or removed.
     pub fn daemon_changes(&self) -> u64 {
         self.daemon_changes
     }
@@ -69,9 +69,9 @@
         self.sequence
     }
 
-    /// A digest of all items, whatever order they came in: two logs with the same one have the same items.
-    pub fn content(&self) -> u64 {
-        self.content
+    /// A digest of all items, independent of their order: two logs with the same digest have the same items.
+    pub fn content_digest(&self) -> u64 {
+        self.content_digest
     }
 
     /// The item with this key.
@@ -82,15 +82,15 @@
         }
     }
 
-    /// Every item.
+    /// All items.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.changes.values().filter_map(|change| match change {
             Change::Put(item) => Some(item),
-            Change::Gone(_) => None,
+            Change::Removed(_) => None,
         })
     }
 
-    /// Takes in an item; true where it is new or has changed.
+    /// Adds or updates an item; true if it is new or has changed.
     pub fn put(&mut self, item: Item) -> bool {
         let key = item.key();
         let known = self.get(&key);
@@ -98,57 +98,57 @@
             return false;
         }
         let before = known.map_or(0, Item::digest);
-        self.content = self
-            .content
+        self.content_digest = self
+            .content_digest
             .wrapping_sub(before)
             .wrapping_add(item.digest());
         self.record(key, Change::Put(item));
         true
     }
 
-    /// Takes in that an item is gone; true where it was there.
+    /// Removes an item; true if it was present.
     pub fn remove(&mut self, key: &ItemKey) -> bool {
         let Some(known) = self.get(key) else {
             return false;
         };
-        self.content = self.content.wrapping_sub(known.digest());
-        self.record(key.clone(), Change::Gone(key.clone()));
+        self.content_digest = self.content_digest.wrapping_sub(known.digest());
+        self.record(key.clone(), Change::Removed(key.clone()));
         self.tombstones.insert(self.sequence, key.clone());
         while self.tombstones.len() > MAX_TOMBSTONES {
-            self.forget_oldest_tombstone();
+            self.discard_oldest_tombstone();
         }
         true
     }
 
-    /// The last change that the asking daemon has, 0 where it has none or not all before it; nothing where it has every item,
-    /// whatever log it followed.
-    pub fn known_to(&self, question: &Ask) -> Option<u64> {
-        if question.content != 0 && question.content == self.content {
+    /// The number of the last change that the querying gateway has, or 0 if it lacks earlier ones; `None` if it has
+    /// every item, regardless of the log that it followed.
+    pub fn sequence_known_to(&self, query: &SyncQuery) -> Option<u64> {
+        if query.content_digest != 0 && query.content_digest == self.content_digest {
             return None;
         }
-        let knows_enough = question.log == self.id
-            && question.sequence >= self.forgotten
-            && question.sequence <= self.sequence;
-        Some(if knows_enough { question.sequence } else { 0 })
+        let knows_enough = query.log_id == self.id
+            && query.sequence >= self.discarded_up_to
+            && query.sequence <= self.sequence;
+        Some(if knows_enough { query.sequence } else { 0 })
     }
 
-    /// The changes of this log that the asking daemon lacks, as many as `fits` allows, see [`Self::page_after`].
-    pub fn page(&self, question: &Ask, fits: impl FnMut(&Change) -> bool) -> LogPage {
-        match self.known_to(question) {
+    /// The changes that the querying gateway lacks, as many as `fits` allows, see [`Self::page_after`].
+    pub fn page(&self, query: &SyncQuery, fits: impl FnMut(&Change) -> bool) -> LogPage {
+        match self.sequence_known_to(query) {
             Some(after) => self.page_after(after, fits),
-            None => self.no_changes(),
+            None => self.empty_page(),
         }
     }
 
-    /// The changes after the one of this number, as many as `fits` allows, but one at the least. `fits` is asked
-    /// with each further change of the page in turn, and says whether that still fits.
+    /// The changes after the number `after`, as many as `fits` allows but at least one. `fits` is called with each
+    /// further change in turn, and says whether the page still has room for it.
     pub fn page_after(&self, after: u64, mut fits: impl FnMut(&Change) -> bool) -> LogPage {
         let mut page = LogPage {
             changes: Vec::new(),
             sequence: after,
             is_from_start: after == 0,
             has_more: false,
-            is_same: false,
+            has_same_items: false,
         };
         for (number, change) in self.changes.range(after + 1..) {
             if !fits(change) && !page.changes.is_empty() {
@@ -162,14 +162,14 @@
         page
     }
 
-    /// The page for a daemon that has every item.
-    pub fn no_changes(&self) -> LogPage {
+    /// The page for a gateway that has every item.
+    pub fn empty_page(&self) -> LogPage {
         LogPage {
             changes: Vec::new(),
             sequence: self.sequence,
             is_from_start: false,
             has_more: false,
-            is_same: true,
+            has_same_items: true,
         }
     }
 
@@ -184,11 +184,11 @@
         self.changes.insert(self.sequence, change);
     }
 
-    fn forget_oldest_tombstone(&mut self) {
+    fn discard_oldest_tombstone(&mut self) {
         if let Some((sequence, key)) = self.tombstones.pop_first() {
             self.changes.remove(&sequence);
             self.sequence_by_key.remove(&key);
-            self.forgotten = sequence;
+            self.discarded_up_to = sequence;
         }
     }
 }
--- a/crates/gateway/src/peers/convert.rs
+++ b/crates/gateway/src/peers/convert.rs
@@ -1,11 +1,11 @@
-//! Entries of the store as daemons tell them to each other, and back.
+//! Conversions between entries of the store and their form in datagrams.
 
 use std::time::Duration;
 
 use super::message::{WireDaemon, WireReplica};
-use crate::protocol::{DaemonRecord, ModelVersion, ReplicaEntry, ReplicaLife};
+use crate::protocol::{DaemonRecord, ModelVersion, ReplicaEntry, ReplicaIncarnation};
 
-/// A time in whole milliseconds, as datagrams bear it.
+/// A time in whole milliseconds, as used in datagrams.
 pub(crate) fn to_ms(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
@@ -14,8 +14,8 @@
     fn from(entry: &ReplicaEntry) -> Self {
         let models = entry.models.iter();
         Self {
-            id: entry.life.id.clone(),
-            born: entry.life.born,
+            id: entry.incarnation.id.clone(),
+            born: entry.incarnation.born,
             service: entry.service.clone(),
             address: entry.address.to_string(),
             zone: entry.zone.clone(),
@@ -29,11 +29,11 @@
 }
 
 impl WireReplica {
-    /// The entry; nothing where the address can't be read.
+    /// The entry, or `None` if the address is invalid.
     pub fn to_entry(&self) -> Option<ReplicaEntry> {
         let models = self.models.iter();
         Some(ReplicaEntry {
-            life: ReplicaLife {
+            incarnation: ReplicaIncarnation {
                 id: self.id.clone(),
                 born: self.born,
             },
--- a/crates/gateway/src/peers/known.rs
+++ b/crates/gateway/src/peers/known.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows through its peers, and whom it tells.
+//! The state shared by the tasks that synchronize this gateway with its peers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,98 +11,98 @@
 
 use super::change_log::ChangeLog;
 use super::directory::{Directory, short_digest};
-use super::far::FarExchange;
 use super::followed_log::FollowedLog;
-use super::message::{Item, Loading, WireDaemon, WirePrompt};
+use super::message::{Item, LoadStatus, WireDaemon, WirePrompt};
 use super::packed_pages::PackedPages;
+use super::prompt_relay::PromptRelay;
 use super::relays::Relays;
 use super::view::View;
-use crate::cache::CachedNews;
+use crate::cache::CacheUpdate;
 
-/// Tokens from which others are told what a replica was given to read.
-pub(super) const LEAST_REPORTED_TOKENS: u64 = 1200;
+/// The minimum size of a prompt, in tokens to prefill, that is reported to others.
+pub(super) const MIN_REPORTED_TOKENS: u64 = 1200;
 
-/// Prompts of one datagram; more are dropped. So many stay below the bound of a datagram, 1,200 bytes, with
-/// ids of usual length.
+/// The number of prompts in a datagram; further ones are dropped. With ids of usual length this many stay below the
+/// size limit of a datagram, 1,200 bytes.
 pub const MAX_PROMPTS: usize = 18;
 
-/// Seeds that are asked before the store. Each that is silent takes 0.65 s and is then passed over for 2.5 s: all of them have
-/// been asked in vain before the first one has its turn again, and this daemon reads the store.
-const MOST_SEEDS: usize = 3;
+/// The number of seeds that are queried before the store. One that doesn't reply takes 0.65 s and is then skipped for
+/// 2.5 s, so all of them have failed before the first one's turn comes again, and this gateway reads the store.
+const MAX_SEEDS: usize = 3;
 
-/// How long a daemon that has just started waits for its source to tell it all replicas before it lists them itself: as long
-/// as others wait for a reader that knows nothing yet.
-const FIRST_LIST_PATIENCE: Duration = Duration::from_millis(1300);
+/// How long a gateway that has just started waits for all replicas from its source before it lists them itself: as long
+/// as others wait for a reader without a view.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1300);
 
-/// How often it looks whether it was told.
+/// The interval at which it checks whether the source has sent them.
 const FIRST_LIST_POLL: Duration = Duration::from_millis(20);
 
-/// What a daemon knows through its peers, and whom it tells.
+/// The state shared by the tasks that synchronize this gateway with its peers.
 #[derive(Debug)]
 pub struct Peers {
-    /// Replicas and daemons.
+    /// The known replicas and gateways.
     pub log: RefCell<ChangeLog>,
-    /// Pages of it that others asked for.
-    pub(super) pages: RefCell<PackedPages>,
-    /// Wakes the task that tells others of news.
-    pub news: Notify,
-    /// Whether this daemon reads the store itself.
+    /// Cached pages of [`Peers::log`] in the packed form.
+    pub(super) packed_pages: RefCell<PackedPages>,
+    /// Wakes the task that sends changes to others.
+    pub outbox_changed: Notify,
+    /// Whether this gateway reads the store itself.
     pub is_reader: Cell<bool>,
-    /// Whether this daemon is one of those that may call the store on their own account; a daemon that has just started
-    /// is, until it has asked others.
+    /// Whether this gateway is one of those that may call the store on their own account; true for a gateway that has
+    /// just started until it has chosen a source.
     pub may_read: Cell<bool>,
-    /// Wakes the tasks that wait to become the reader.
+    /// Wakes the tasks that wait for a change of [`Peers::is_reader`].
     pub reader_changed: Notify,
-    /// Whether this daemon leads its group: those before it in rank are silent.
+    /// Whether this gateway leads its group: those ahead of it in rank don't reply.
     pub is_leader: Cell<bool>,
-    /// Wakes the tasks that wait to lead.
+    /// Wakes the tasks that wait for a change of [`Peers::is_leader`].
     pub(super) leader_changed: Notify,
-    /// The address of the daemon that this one asks; none where it reads the store itself.
+    /// The address of the gateway that this one queries; none if it reads the store itself.
     pub(super) source: RefCell<Option<String>>,
-    /// The address of the leader of the group, where that is another daemon.
+    /// The address of the group's leader, if that is another gateway.
     pub(super) leader: RefCell<Option<String>>,
-    /// Whom to send to in other groups.
+    /// The receivers in other groups.
     pub(super) relays: Relays,
-    /// The daemons ranked, and the number of changes of daemons at which they were.
+    /// The ranked gateways, and the count of gateway changes for which they were ranked.
     directory: RefCell<Option<(u64, Rc<Directory>)>>,
-    knows_daemons: Cell<bool>,
-    turns: Cell<u32>,
-    /// What this daemon learnt of stores of cached prompt work, to be told to the group.
-    pub(super) cached_news: RefCell<Vec<CachedNews>>,
-    /// Wakes the task that tells it.
-    pub(super) cached_gathered: Notify,
-    /// Whether this daemon, as the reader, follows the replicas.
+    has_all_daemons: Cell<bool>,
+    rotation: Cell<u32>,
+    /// Changes in the contents of prompt-cache stores that have yet to be sent to the group.
+    pub(super) cached_news: RefCell<Vec<CacheUpdate>>,
+    /// Wakes the task that sends them.
+    pub(super) cached_news_added: Notify,
+    /// Whether this gateway, as the reader, watches the replicas in the store.
     pub follows_replicas: Cell<bool>,
     pub(super) view: View,
     pub(super) reader_since: Cell<Duration>,
     pub(super) seeds: Vec<WireDaemon>,
     pub(super) own: WireDaemon,
     pub(super) followers: RefCell<HashMap<SocketAddr, Instant>>,
-    /// When those who ask were last told what replicas say of themselves.
-    pub(super) reminded: RefCell<HashMap<SocketAddr, Instant>>,
+    /// When each querying gateway was last sent the notices of replicas.
+    pub(super) reminded_at: RefCell<HashMap<SocketAddr, Instant>>,
     pub(super) followed: RefCell<FollowedLog>,
     pub(super) nonce: Cell<u64>,
     pub(super) ask_now: Notify,
-    pub(super) outbox: RefCell<Vec<Loading>>,
+    pub(super) load_statuses: RefCell<Vec<LoadStatus>>,
     pub(super) prompts: RefCell<Vec<WirePrompt>>,
-    pub(super) far: FarExchange,
-    pub(super) nudges: Cell<bool>,
-    pub(super) store_recovered: Cell<bool>,
-    /// Whether a source has been chosen, and with it whether this daemon may read the store.
-    has_chosen: Cell<bool>,
-    /// Wakes the task that waits for that.
-    chosen: Notify,
-    /// The highest version of the configuration that another daemon told, and the last one that told it.
+    pub(super) prompt_relay: PromptRelay,
+    pub(super) must_announce_changes: Cell<bool>,
+    pub(super) must_announce_store: Cell<bool>,
+    /// Whether a source has been chosen, which also sets [`Peers::may_read`].
+    has_chosen_source: Cell<bool>,
+    /// Wakes the task that waits for the first choice.
+    source_chosen: Notify,
+    /// The highest version of the configuration that another gateway has reported, and the last gateway that reported it.
     configuration_holder: Cell<Option<(u64, SocketAddr)>>,
 }
 
 impl Peers {
-    /// The peers of the daemon `own`; `life` differs from that of every other life.
-    pub fn new(own: WireDaemon, seeds: Vec<WireDaemon>, life: u64) -> Self {
+    /// The state of the gateway `own`; `incarnation` differs from that of every other start.
+    pub fn new(own: WireDaemon, seeds: Vec<WireDaemon>, incarnation: u64) -> Self {
         Self {
-            log: RefCell::new(ChangeLog::new(life)),
-            pages: RefCell::default(),
-            news: Notify::new(),
+            log: RefCell::new(ChangeLog::new(incarnation)),
+            packed_pages: RefCell::default(),
+            outbox_changed: Notify::new(),
             is_reader: Cell::new(false),
             may_read: Cell::new(true),
             is_leader: Cell::new(false),
@@ -111,10 +111,10 @@
             leader: RefCell::new(None),
             relays: Relays::new(Instant::now()),
             directory: RefCell::new(None),
-            knows_daemons: Cell::new(false),
-            turns: Cell::new(0),
+            has_all_daemons: Cell::new(false),
+            rotation: Cell::new(0),
             cached_news: RefCell::new(Vec::new()),
-            cached_gathered: Notify::new(),
+            cached_news_added: Notify::new(),
             follows_replicas: Cell::new(false),
             view: View::default(),
             reader_since: Cell::new(Duration::ZERO),
@@ -122,40 +122,40 @@
             reader_changed: Notify::new(),
             own,
             followers: RefCell::new(HashMap::new()),
-            reminded: RefCell::new(HashMap::new()),
+            reminded_at: RefCell::new(HashMap::new()),
             followed: RefCell::default(),
-            nonce: Cell::new(life << 20),
+            nonce: Cell::new(incarnation << 20),
             ask_now: Notify::new(),
-            outbox: RefCell::new(Vec::new()),
+            load_statuses: RefCell::new(Vec::new()),
             prompts: RefCell::new(Vec::new()),
-            far: FarExchange::default(),
-            nudges: Cell::new(false),
-            store_recovered: Cell::new(false),
-            has_chosen: Cell::new(false),
-            chosen: Notify::new(),
+            prompt_relay: PromptRelay::default(),
+            must_announce_changes: Cell::new(false),
+            must_announce_store: Cell::new(false),
+            has_chosen_source: Cell::new(false),
+            source_chosen: Notify::new(),
             configuration_holder: Cell::new(None),
         }
     }
 
-    /// Takes in that the daemon at `holder` holds this version of the configuration.
-    pub(super) fn note_configuration(&self, version: u64, holder: SocketAddr) {
+    /// Records that the gateway at `holder` has this version of the configuration.
+    pub(super) fn record_configuration_holder(&self, version: u64, holder: SocketAddr) {
         let known = self.configuration_holder.get();
         if version > 0 && known.is_none_or(|(known, _)| known <= version) {
             self.configuration_holder.set(Some((version, holder)));
         }
     }
 
-    /// Who holds the highest version of the configuration that another daemon told.
+    /// The gateway that last reported the highest version of the configuration.
     pub(super) fn configuration_holder(&self) -> Option<SocketAddr> {
         self.configuration_holder.get().map(|(_, holder)| holder)
     }
 
-    /// This daemon.
+    /// This gateway.
     pub fn own(&self) -> &WireDaemon {
         &self.own
     }
 
-    /// The daemons known, ranked anew where they have changed.
+    /// The known gateways, ranked again only if they have changed.
     pub fn directory(&self) -> Rc<Directory> {
         let log = self.log.borrow();
         let changes = log.daemon_changes();
@@ -174,130 +174,130 @@
             .unwrap_or_default()
     }
 
-    /// Those who may be asked: the own group, or the first seeds as long as not all daemons are known.
+    /// The gateways that may be queried: the own group, or the first seeds until all gateways are known.
     pub(super) fn group(&self, directory: &Directory) -> Vec<WireDaemon> {
-        if self.knows_daemons.get() || self.seeds.is_empty() {
+        if self.has_all_daemons.get() || self.seeds.is_empty() {
             return directory.group.clone();
         }
-        let seeds = self.seeds.iter().take(MOST_SEEDS);
+        let seeds = self.seeds.iter().take(MAX_SEEDS);
         seeds.chain([&self.own]).cloned().collect()
     }
 
-    /// Takes in that every daemon is known that another daemon or the store lists. Before that, ranks mean nothing:
-    /// some of the daemons known may know less than this one.
-    pub fn note_daemons_known(&self) {
-        self.knows_daemons.set(true);
+    /// Records that all gateways are known that another gateway or the store lists. Before that, ranks are meaningless:
+    /// some of the known gateways may know less than this one.
+    pub fn set_daemons_known(&self) {
+        self.has_all_daemons.set(true);
     }
 
-    /// Whether every daemon is known, see [`Peers::note_daemons_known`].
+    /// Whether every gateway is known, see [`Peers::set_daemons_known`].
     pub fn are_daemons_known(&self) -> bool {
-        self.knows_daemons.get()
+        self.has_all_daemons.get()
     }
 
-    /// The place of this daemon in its group; 0 is the first.
+    /// The rank of this gateway in its group; 0 is the first.
     pub fn rank(&self) -> u32 {
         let directory = self.directory();
-        let place = directory
+        let position = directory
             .group
             .iter()
             .position(|member| member.name == self.own.name);
-        place
-            .and_then(|place| u32::try_from(place).ok())
+        position
+            .and_then(|position| u32::try_from(position).ok())
             .unwrap_or(0)
     }
 
-    /// Takes in that all that is known here was in the store at `moment`, as this daemon has read.
+    /// Records that the known state was in the store at `moment`, read by this gateway.
     pub fn prove_view(&self, moment: Instant) {
         let own = self.log.borrow().id();
         self.view.prove(moment, Some(own), Instant::now());
     }
 
-    /// Takes in that all that is known here was known at `moment` to the reader of the whole store that has this log.
-    pub(super) fn prove_told_view(&self, moment: Instant, reader: Option<u64>) {
+    /// Records that the reader of the whole store with this log id had the known state at `moment`.
+    pub(super) fn prove_relayed_view(&self, moment: Instant, reader: Option<u64>) {
         self.view.prove(moment, reader, Instant::now());
     }
 
-    /// The log of the reader of the store that knew all that is known here.
-    pub(super) fn view_reader(&self) -> Option<u64> {
+    /// The log id of the reader of the store from which the known state came.
+    pub(super) fn view_reader_log(&self) -> Option<u64> {
         self.view.reader()
     }
 
-    /// How long ago all that is known here was known to a reader of the whole store.
+    /// How long ago a reader of the whole store had the known state.
     pub fn view_age(&self) -> Option<Duration> {
         self.view.age(Instant::now())
     }
 
-    /// Until when a replica whose entry is gone at `now` stays in use, see [`View::keep_until`].
+    /// Until when a replica whose entry was removed at `now` stays in use, see [`View::keep_until`].
     pub fn keep_until(&self, now: Instant, in_touch_at: Option<Instant>) -> Option<Instant> {
         self.view.keep_until(now, in_touch_at)
     }
 
-    /// Waits until this daemon has to read the store itself.
-    pub async fn until_reader(&self) {
+    /// Waits until this gateway has to read the store itself.
+    pub async fn wait_until_reader(&self) {
         while !self.is_reader.get() {
             self.reader_changed.notified().await;
         }
     }
 
-    /// Asks the source at once.
+    /// Queries the source immediately.
     pub fn ask_now(&self) {
         self.ask_now.notify_one();
     }
 
-    /// Waits until another daemon reads the store for this one.
-    pub async fn until_follower(&self) {
+    /// Waits until another gateway reads the store for this one.
+    pub async fn wait_until_follower(&self) {
         while self.is_reader.get() {
             self.reader_changed.notified().await;
         }
     }
 
-    /// Takes in whether this daemon may read the store for its group, as a source has been chosen.
+    /// Records whether this gateway may read the store for its group, after a source has been chosen.
     pub(super) fn set_may_read(&self, may_read: bool) {
         self.may_read.set(may_read);
-        if !self.has_chosen.replace(true) {
-            self.chosen.notify_waiters();
+        if !self.has_chosen_source.replace(true) {
+            self.source_chosen.notify_waiters();
         }
     }
 
-    /// Whether this daemon, which has just started, lists the replicas itself: where it may read the store for its group, or
-    /// its source has not told it all of them in time. The lists of hundreds that start together would fill the
-    /// store's link, and the readers would wait for theirs behind them.
-    pub async fn wants_first_list(&self) -> bool {
-        while !self.has_chosen.get() {
-            self.chosen.notified().await;
+    /// Whether this gateway, which has just started, must list the replicas itself: it may read the store for its group,
+    /// or its source has not sent all of them in time. The lists of hundreds of gateways that start together would fill
+    /// the store's link, and those of the readers would queue behind them.
+    pub async fn must_list_at_start(&self) -> bool {
+        while !self.has_chosen_source.get() {
+            self.source_chosen.notified().await;
         }
         if self.may_read.get() {
             return true;
         }
-        let until_told = async {
+        let until_informed = async {
             while self.view_age().is_none() {
                 tokio::time::sleep(FIRST_LIST_POLL).await;
             }
         };
-        let told = tokio::time::timeout(FIRST_LIST_PATIENCE, until_told).await;
-        told.is_err()
+        let result = tokio::time::timeout(FIRST_LIST_TIMEOUT, until_informed).await;
+        result.is_err()
     }
 
-    /// Waits until this daemon leads its group.
-    pub async fn until_leader(&self) {
+    /// Waits until this gateway leads its group.
+    pub async fn wait_until_leader(&self) {
         while !self.is_leader.get() {
             self.leader_changed.notified().await;
         }
     }
 
-    /// The address of the daemon that this one asks; none where it reads the store itself.
+    /// The address of the gateway that this one queries; none if it reads the store itself.
     pub fn source_address(&self) -> Option<String> {
         self.source.borrow().clone()
     }
 
-    /// A number that differs from report to report.
-    pub(super) fn next_turn(&self) -> u32 {
-        let turn = self.turns.get().wrapping_add(1);
-        self.turns.set(turn);
-        turn
+    /// The rotation for the next report.
+    pub(super) fn next_rotation(&self) -> u32 {
+        let rotation = self.rotation.get().wrapping_add(1);
+        self.rotation.set(rotation);
+        rotation
     }
 
-    /// Takes in which daemon leads the group.
+    /// Records which gateway leads the group.
     pub(super) fn set_leader(&self, leader: Option<&WireDaemon>) {
         let is_leader = leader.is_some_and(|leader| leader.name == self.own.name);
         let other = leader.filter(|_| !is_leader);
@@ -308,56 +308,57 @@
         }
     }
 
-    /// Tells the group what this daemon learnt of a store of cached prompt work.
-    pub fn tell_cached(&self, news: CachedNews) {
+    /// Sends to the group what this gateway has learned of a prompt-cache store.
+    pub fn announce_cached(&self, news: CacheUpdate) {
         if news.is_known && !news.is_from_start && news.changes.is_empty() {
             return;
         }
         self.cached_news.borrow_mut().push(news);
-        self.cached_gathered.notify_one();
+        self.cached_news_added.notify_one();
     }
 
-    /// A number for the next question.
+    /// The nonce for the next query.
     pub(super) fn next_nonce(&self) -> u64 {
         let nonce = self.nonce.get() + 1;
         self.nonce.set(nonce);
         nonce
     }
 
-    /// Tells every daemon how a replica's loading of weights goes.
-    pub fn tell_loading(&self, loading: Loading) {
-        self.outbox.borrow_mut().push(loading);
-        self.news.notify_one();
+    /// Reports the state of a replica's weight load to every gateway.
+    pub fn report_load_status(&self, status: LoadStatus) {
+        self.load_statuses.borrow_mut().push(status);
+        self.outbox_changed.notify_one();
     }
 
-    /// Reports to the other daemons which prompt a replica was given, where it has much to read or to keep.
+    /// Reports a prompt that was dispatched to a replica, if it is long or has prefixes to cache.
     pub fn report_prompt(&self, mut prompt: WirePrompt) {
         prompt.sender = short_digest(&self.own.name);
-        if prompt.tokens < LEAST_REPORTED_TOKENS && prompt.prefixes.is_empty() {
+        if prompt.tokens < MIN_REPORTED_TOKENS && prompt.prefixes.is_empty() {
             return;
         }
-        self.far.gather(&prompt);
+        self.prompt_relay.gather(&prompt);
         let mut prompts = self.prompts.borrow_mut();
         if prompts.len() < MAX_PROMPTS {
             prompts.push(prompt);
-            self.news.notify_one();
+            self.outbox_changed.notify_one();
         }
     }
 
-    /// Takes in that this daemon learnt of replicas or daemons otherwise than from the one that it asks.
-    pub fn learnt_elsewhere(&self) {
-        self.followed.borrow_mut().start_anew();
+    /// Restarts the transfer from the source's change log, after this gateway has learned of replicas or gateways
+    /// elsewhere.
+    pub fn reset_followed_log(&self) {
+        self.followed.borrow_mut().reset();
     }
 
-    /// Announces to every daemon that the store answers again.
+    /// Announces to every gateway that the store answers again.
     pub fn announce_store(&self) {
-        self.store_recovered.set(true);
-        self.news.notify_one();
+        self.must_announce_store.set(true);
+        self.outbox_changed.notify_one();
     }
 
-    /// Tells those who ask this daemon that there are news.
-    pub fn nudge(&self) {
-        self.nudges.set(true);
-        self.news.notify_one();
+    /// Notifies the gateways that query this one of changes.
+    pub fn announce_changes(&self) {
+        self.must_announce_changes.set(true);
+        self.outbox_changed.notify_one();
     }
 }
--- a/crates/gateway/src/peers/notices.rs
+++ b/crates/gateway/src/peers/notices.rs
@@ -1,5 +1,5 @@
-//! Tells what replicas say of themselves ([`crate::notices`]) to all daemons: a daemon that has sent a replica no request yet
-//! learns of its limit before it does.
+//! Distributes the limits and leave notices of replicas ([`crate::notices`]) to all gateways, so that a gateway knows a
+//! replica's limit before it sends the first request there.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,45 +9,45 @@
 
 use super::convert::to_ms;
 use super::message::{Message, Report, WireLimit, WireNotice};
-use super::news::tell_other_groups;
+use super::news::send_to_other_groups;
 use super::send::send_to;
 use super::spread::spread;
-use crate::notices::survey::HOLDS_FOR;
-use crate::notices::{LimitNotice, Teller, note_leaving, note_limit};
+use crate::notices::survey::SURVEY_MAX_AGE;
+use crate::notices::{LimitNotice, NoticeSource, record_leaving, record_limit};
 use crate::protocol::RequestRate;
 use crate::replicas::Replica;
 use crate::state::GatewayState;
 
-/// How long notices are gathered: replicas that are in need are so together.
-const GATHERING: Duration = Duration::from_millis(5);
+/// How long notices are batched: overloaded replicas tend to announce limits at the same time.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// The time between two reminders of one daemon: a lost datagram costs one request of each daemon that missed it.
-const BETWEEN_REMINDERS: Duration = Duration::from_secs(5);
+/// The time between two reminders to the same gateway: a lost datagram costs one request of each gateway that missed it.
+const REMINDER_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Replicas of which one reminder tells, others at each turn.
-const MAX_REMINDED: usize = 36;
+/// The number of replicas in a reminder, a different selection each time.
+const MAX_REMINDER_NOTICES: usize = 36;
 
-/// Notices of one datagram, which so stays below 1,200 bytes: each takes up to 80 of them.
+/// The number of notices in a datagram, which keeps it below 1,200 bytes: each takes up to 80 of them.
 const MAX_NOTICES: usize = 12;
 
-/// Tells what is new, for ever.
-pub(super) async fn tell(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
+/// Sends new notices in an endless loop.
+pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
-        let changed = state.notice_news.changed.notified();
-        let has_news = tokio::time::timeout(HOLDS_FOR, changed).await.is_ok();
+        let changed = state.changed_notices.changed.notified();
+        let has_news = tokio::time::timeout(SURVEY_MAX_AGE, changed).await.is_ok();
         survey(&state);
         if !has_news {
             continue;
         }
-        tokio::time::sleep(GATHERING).await;
-        let replicas = state.notice_news.take();
+        tokio::time::sleep(BATCH_DELAY).await;
+        let replicas = state.changed_notices.take();
         let now = Instant::now();
         let notices: Vec<WireNotice> = replicas
             .iter()
             .map(|replica| to_wire(replica, now))
             .collect();
         for notices in notices.chunks(MAX_NOTICES) {
-            tell_other_groups(&state, &socket, &Message::Notices(notices.to_vec())).await;
+            send_to_other_groups(&state, &socket, &Message::Notices(notices.to_vec())).await;
             spread(&state, &socket, Report::Notices(notices.to_vec())).await;
         }
     }
@@ -58,37 +58,37 @@
     state.notice_survey.replicas(&state.registry, metrics)
 }
 
-/// Tells a daemon that has asked a question what is known, at once where it is new and then every few seconds: it may have
-/// just started, and datagrams are lost.
+/// Sends the known notices to a querying gateway, at once for a new one and then every few seconds: it may have just
+/// started, and datagrams get lost.
 pub(super) async fn remind(state: &GatewayState, socket: &tokio::net::UdpSocket, to: SocketAddr) {
     let surveyed = survey(state);
     if surveyed.is_empty() || !is_due(state, to) {
         return;
     }
     let replicas = surveyed.iter();
-    let replicas = replicas.filter(|replica| replica.notices.is_for_all_daemons());
+    let replicas = replicas.filter(|replica| replica.notices.has_any_to_share());
     let replicas: Vec<&Rc<Replica>> = replicas.collect();
     if replicas.is_empty() {
         return;
     }
     let now = Instant::now();
-    let first = (state.peers.next_turn() as usize * MAX_REMINDED) % replicas.len();
+    let first = (state.peers.next_rotation() as usize * MAX_REMINDER_NOTICES) % replicas.len();
     let others = replicas.iter().cycle().skip(first);
-    let told = others.take(MAX_REMINDED.min(replicas.len()));
-    let notices: Vec<WireNotice> = told.map(|replica| to_wire(replica, now)).collect();
+    let selected = others.take(MAX_REMINDER_NOTICES.min(replicas.len()));
+    let notices: Vec<WireNotice> = selected.map(|replica| to_wire(replica, now)).collect();
     for notices in notices.chunks(MAX_NOTICES) {
         send_to(socket, &Message::Reminder(notices.to_vec()), to).await;
     }
 }
 
 fn is_due(state: &GatewayState, to: SocketAddr) -> bool {
-    let mut reminded = state.peers.reminded.borrow_mut();
-    let is_due = reminded
+    let mut reminded_at = state.peers.reminded_at.borrow_mut();
+    let is_due = reminded_at
         .get(&to)
-        .is_none_or(|at| at.elapsed() >= BETWEEN_REMINDERS);
+        .is_none_or(|at| at.elapsed() >= REMINDER_INTERVAL);
     if is_due {
-        reminded.retain(|_, at| at.elapsed() < BETWEEN_REMINDERS);
-        reminded.insert(to, Instant::now());
+        reminded_at.retain(|_, at| at.elapsed() < REMINDER_INTERVAL);
+        reminded_at.insert(to, Instant::now());
     }
     is_due
 }
@@ -97,38 +97,38 @@
     let age_ms = |at: Instant| to_ms(now.saturating_duration_since(at));
     WireNotice {
         replica: replica.id().to_owned(),
-        born: replica.life.born,
+        born: replica.incarnation.born,
         limit: replica.notices.limit_notice().map(|notice| WireLimit {
             thousandths: notice.rate.map(RequestRate::thousandths),
-            // Rounded up: a notice may look older than it is, never newer.
+            // Rounded up: a notice may appear older than it is, never newer.
             sent_age_ms: age_ms(notice.sent_at).saturating_add(1),
-            heard_age_ms: age_ms(notice.heard_at),
+            heard_age_ms: age_ms(notice.received_at),
         }),
-        is_leaving: replica.notices.has_said_leaving(),
+        is_leaving: replica.notices.has_announced_leaving(),
     }
 }
 
-/// Takes in what others were told by replicas.
-pub(super) fn take(state: &GatewayState, notices: &[WireNotice]) {
+/// Applies notices that other gateways got from replicas.
+pub(super) fn apply(state: &GatewayState, notices: &[WireNotice]) {
     let now = Instant::now();
     let ago = |age_ms: u64| {
         now.checked_sub(Duration::from_millis(age_ms))
             .unwrap_or(now)
     };
     for notice in notices {
-        let Some(replica) = state.registry.current(&notice.life()) else {
+        let Some(replica) = state.registry.current(&notice.incarnation()) else {
             continue;
         };
         if notice.is_leaving {
-            note_leaving(state, &replica, Teller::Peer);
+            record_leaving(state, &replica, NoticeSource::Peer);
         }
         if let Some(limit) = &notice.limit {
-            let told = LimitNotice {
+            let limit_notice = LimitNotice {
                 rate: limit.thousandths.map(RequestRate::from_thousandths),
                 sent_at: ago(limit.sent_age_ms),
-                heard_at: ago(limit.heard_age_ms),
+                received_at: ago(limit.heard_age_ms),
             };
-            note_limit(state, &replica, told, Teller::Peer);
+            record_limit(state, &replica, limit_notice, NoticeSource::Peer);
         }
     }
 }
--- a/crates/gateway/src/peers/permits.rs
+++ b/crates/gateway/src/peers/permits.rs
@@ -1,4 +1,4 @@
-//! Asks for permits, and answers who asks ([`crate::permits`]).
+//! Sends permit queries, and replies to those of others ([`crate::permits`]).
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -6,49 +6,47 @@
 
 use super::convert::to_ms;
 use super::directory::name_digest;
-use super::message::{AskPermit, Message, TellPermit};
+use super::message::{Message, WirePermitQuery, WirePermitReply};
 use super::send::{send, send_to};
 use crate::permits;
 use crate::protocol::RequestRate;
 use crate::state::GatewayState;
 
-/// Sends questions, for ever.
-pub(super) async fn ask(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
-    let questions = &state.permits.questions;
+/// Sends permit queries in an endless loop.
+pub(super) async fn send_queries(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
+    let questions = &state.permits.queries;
     loop {
-        questions.asked.notified().await;
-        for (question, to) in questions.take_outbox() {
-            send(&socket, &Message::AskPermit(question), &to).await;
+        questions.outbox_changed.notified().await;
+        for (query, to) in questions.take_outbox() {
+            send(&socket, &Message::PermitQuery(query), &to).await;
         }
     }
 }
 
-/// Answers a question.
+/// Replies to a permit query.
 pub(super) async fn answer(
     state: &Rc<GatewayState>,
     socket: &tokio::net::UdpSocket,
-    question: &AskPermit,
+    query: &WirePermitQuery,
     from: SocketAddr,
 ) {
-    let rate = question
-        .limit_thousandths
-        .map(RequestRate::from_thousandths);
+    let rate = query.limit_thousandths.map(RequestRate::from_thousandths);
     let issued = match rate {
-        Some(rate) => permits::issue(state, question.life, rate),
+        Some(rate) => permits::issue(state, query.incarnation, rate),
         None => Err(Duration::ZERO),
     };
     let wait = issued.err().unwrap_or_default();
-    let told = TellPermit {
-        nonce: question.nonce,
+    let reply = WirePermitReply {
+        nonce: query.nonce,
         daemon: name_digest(&state.peers.own().name),
         is_granted: issued.is_ok(),
         wait_ms: to_ms(wait),
     };
-    send_to(socket, &Message::TellPermit(told), from).await;
+    send_to(socket, &Message::PermitReply(reply), from).await;
 }
 
-/// Takes in an answer.
-pub(super) fn take(state: &GatewayState, told: TellPermit) {
-    state.permits.note_answer(told.daemon);
-    state.permits.questions.answer(told);
+/// Applies a reply.
+pub(super) fn apply(state: &GatewayState, reply: WirePermitReply) {
+    state.permits.record_answer(reply.daemon);
+    state.permits.queries.complete(reply);
 }
--- a/crates/gateway/src/peers/records.rs
+++ b/crates/gateway/src/peers/records.rs
@@ -1,8 +1,8 @@
-//! Tells what is known of requests that end replicas ([`crate::quarantine`]).
+//! Exchanges records of requests that terminate replicas ([`crate::quarantine`]).
 //!
-//! Strikes go to the few daemons that count for a request; what all are to know goes through the tree of each group, and
-//! to one daemon of every other group. Who missed that learns it from the next question or answer: both bear a digest
-//! of what is known, and a daemon that finds the other's to differ sends what it knows.
+//! Strikes go to the few gateways that keep a request's record. What all gateways need goes through the tree of each
+//! group, and to one gateway of every other group. A gateway that missed it learns of it with the next query or reply:
+//! both have a digest of the known records, and a gateway whose digest differs sends its records.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,55 +10,55 @@
 use std::time::Duration;
 
 use super::convert::to_ms;
-use super::message::{Message, Report, WireRecord, WireRecords, WireStrike, WireStruck};
-use super::news::tell_other_groups;
+use super::message::{Message, Report, WireRecord, WireRecordStrike, WireRecords, WireStrike};
+use super::news::send_to_other_groups;
 use super::send::{send, send_to};
 use super::spread::spread;
-use crate::quarantine::shared::{BETWEEN_TELLINGS, Outbox};
-use crate::quarantine::{Fingerprint, Record, Stored, Strike, Teller, homes, role};
+use crate::quarantine::shared::{ANNOUNCE_INTERVAL, Outbox};
+use crate::quarantine::{Fingerprint, Record, RecordSource, Stored, Strike, homes, role};
 use crate::standstill;
 use crate::state::GatewayState;
 use crate::store::{StoreEra, StorePosition};
 
-/// How long news are gathered: a replica that ends strikes some dozen requests at once.
-const GATHERING: Duration = Duration::from_millis(2);
+/// How long changes are batched: a replica that terminates strikes dozens of requests at once.
+const BATCH_DELAY: Duration = Duration::from_millis(2);
 
-/// Strikes, and fingerprints, of one datagram, which so stays below 1,200 bytes: each takes up to 60 of them.
+/// The number of strikes or fingerprints in a datagram, which keeps it below 1,200 bytes: each takes up to 60 of them.
 const MAX_STRIKES: usize = 18;
 
-/// Records of one datagram: each takes up to 560 bytes.
+/// The number of records in a datagram: each takes up to 560 bytes.
 const MAX_RECORDS: usize = 2;
 
-/// Records that are sent to one daemon which knows others; the rest follows with its next question.
-const MAX_SENT: usize = 60;
+/// The number of records that are sent at once to a gateway with another digest; the rest follows after its next query.
+const MAX_RECONCILED: usize = 60;
 
-/// Tells others, for ever.
-pub(super) async fn tell(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
+/// Sends strikes, clearances and records in an endless loop.
+pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
     loop {
-        match state.quarantine.has_news() {
+        match state.quarantine.has_announcements() {
             true => {
-                let more = state.quarantine.told.notified();
-                // Ends early when there is more to tell.
-                let _ = tokio::time::timeout(BETWEEN_TELLINGS, more).await;
+                let more = state.quarantine.announce_wakeup.notified();
+                // The wait ends early if there is more to send.
+                let _ = tokio::time::timeout(ANNOUNCE_INTERVAL, more).await;
             }
-            false => state.quarantine.told.notified().await,
+            false => state.quarantine.announce_wakeup.notified().await,
         }
-        tokio::time::sleep(GATHERING).await;
+        tokio::time::sleep(BATCH_DELAY).await;
         let outbox = state.quarantine.take_outbox();
-        tell_homes(&state, &socket, &outbox).await;
+        send_to_homes(&state, &socket, &outbox).await;
         let news: Vec<WireRecord> = outbox
-            .news
+            .updates
             .iter()
             .filter_map(|fingerprint| own_record(&state, *fingerprint))
             .collect();
         for records in news.chunks(MAX_RECORDS) {
-            tell_all(&state, &socket, records).await;
+            send_to_all_daemons(&state, &socket, records).await;
         }
     }
 }
 
-/// Sends strikes, and requests that ended well, to the daemons that count for them.
-async fn tell_homes(state: &GatewayState, socket: &tokio::net::UdpSocket, outbox: &Outbox) {
+/// Sends strikes, and the fingerprints of completed requests, to the gateways that keep the records.
+async fn send_to_homes(state: &GatewayState, socket: &tokio::net::UdpSocket, outbox: &Outbox) {
     let now = state.quarantine.now();
     let strikes = outbox.strikes.iter().map(|(fingerprint, strike)| {
         let strike = WireStrike {
@@ -83,7 +83,7 @@
     }
 }
 
-/// What goes to whom, by address; this daemon knows already.
+/// The items for each gateway, by address, without those for this gateway.
 fn by_home<T: Clone>(
     state: &GatewayState,
     items: impl Iterator<Item = (Fingerprint, T)>,
@@ -101,32 +101,36 @@
     by_home
 }
 
-async fn tell_all(state: &GatewayState, socket: &tokio::net::UdpSocket, records: &[WireRecord]) {
+async fn send_to_all_daemons(
+    state: &GatewayState,
+    socket: &tokio::net::UdpSocket,
+    records: &[WireRecord],
+) {
     let message = Message::Records(WireRecords {
         records: records.to_vec(),
         is_for_group: true,
     });
-    tell_other_groups(state, socket, &message).await;
+    send_to_other_groups(state, socket, &message).await;
     spread(state, socket, Report::Records(records.to_vec())).await;
 }
 
-/// Sends all that is known to a daemon whose digest is another one.
+/// Sends the known records to a gateway with another digest.
 pub(super) async fn reconcile(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
     their_digest: Option<u64>,
     to: SocketAddr,
 ) {
-    // A daemon of an earlier version tells none, and knows no records.
+    // A gateway of an earlier version sends no digest, and keeps no records.
     if their_digest.is_none_or(|theirs| theirs == digest(state)) {
         return;
     }
     let known = state.quarantine.read(|ledger| {
-        let known = ledger.known_to_all();
+        let known = ledger.shared_records();
         let known = known.map(|(fingerprint, record)| wire(state, fingerprint, record));
         known.collect::<Vec<WireRecord>>()
     });
-    let known = part(known, state.peers.next_turn());
+    let known = rotated_part(known, state.peers.next_rotation());
     for records in known.chunks(MAX_RECORDS) {
         let message = Message::Records(WireRecords {
             records: records.to_vec(),
@@ -136,91 +140,92 @@
     }
 }
 
-/// As many records as are sent to one daemon, others at each turn.
-fn part(mut records: Vec<WireRecord>, turn: u32) -> Vec<WireRecord> {
-    let first = (turn as usize * MAX_SENT) % records.len().max(1);
+/// The records to send at once, a different selection for each `rotation`.
+fn rotated_part(mut records: Vec<WireRecord>, rotation: u32) -> Vec<WireRecord> {
+    let first = (rotation as usize * MAX_RECONCILED) % records.len().max(1);
     records.sort_by_key(|record| record.fingerprint);
     records.rotate_left(first);
-    records.truncate(MAX_SENT);
+    records.truncate(MAX_RECONCILED);
     records
 }
 
-/// The digest of what is known here.
+/// The digest of the known records.
 pub(super) fn digest(state: &GatewayState) -> u64 {
     state.quarantine.read(|ledger| ledger.digest())
 }
 
-/// Takes in strikes. Those that waited for this daemon while it stood still are left out, as if lost: when their replicas ended is
-/// not known, and they would seem to have ended together. The others that count for the request know, and tell the record.
-pub(super) fn take_strikes(state: &GatewayState, strikes: &[WireStrike]) {
+/// Applies strikes. Strikes that were queued while this process was suspended are dropped as if lost: it is unknown
+/// when their replicas terminated, and these would seem to have terminated together. The other gateways that keep the
+/// record have them, and send the record.
+pub(super) fn apply_strikes(state: &GatewayState, strikes: &[WireStrike]) {
     if standstill::has_just_woken() {
         log::info!(
-            "{} strikes that may have waited are left out",
+            "{} strikes dropped: they may have been queued while the process was suspended",
             strikes.len()
         );
         return;
     }
     let now = state.quarantine.now();
     let directory = state.peers.directory();
-    for told in strikes {
+    for wire_strike in strikes {
         let strike = Strike {
-            replica: told.replica,
-            at: moment(now, told.age_ms),
+            replica: wire_strike.replica,
+            at: moment(now, wire_strike.age_ms),
             is_coincident: false,
-            began_at: began_at(now, told.age_ms, told.ran_ms),
+            began_at: began_at(now, wire_strike.age_ms, wire_strike.ran_ms),
         };
-        let fingerprint = Fingerprint::from_number(told.fingerprint);
+        let fingerprint = Fingerprint::from_number(wire_strike.fingerprint);
         let role = role(&directory, fingerprint, state.peers.own());
         state
             .quarantine
-            .take_strike(fingerprint, strike, role, Teller::Peer);
+            .record_strike(fingerprint, strike, role, RecordSource::Peer);
     }
 }
 
-/// Takes in that requests ended well.
-pub(super) fn take_cleared(state: &GatewayState, cleared: &[u128]) {
+/// Clears completed requests.
+pub(super) fn apply_cleared(state: &GatewayState, cleared: &[u128]) {
     for number in cleared {
         let fingerprint = Fingerprint::from_number(*number);
-        state.quarantine.clear(fingerprint, Teller::Peer);
+        state.quarantine.clear(fingerprint, RecordSource::Peer);
     }
 }
 
-/// Takes in records; true where there was news among them.
-pub(super) fn take_records(state: &GatewayState, records: &[WireRecord]) -> bool {
+/// Applies records; true if any of them was new.
+pub(super) fn apply_records(state: &GatewayState, records: &[WireRecord]) -> bool {
     let now = state.quarantine.now();
     let directory = state.peers.directory();
     let mut has_news = false;
-    for told in records {
-        let strikes = told.strikes.iter();
+    for wire_record in records {
+        let strikes = wire_record.strikes.iter();
         let record = Record {
-            generation: told.generation,
+            generation: wire_record.generation,
             strikes: strikes
-                .map(|told| Strike {
-                    replica: told.replica,
-                    at: moment(now, told.age_ms),
-                    is_coincident: told.is_coincident,
-                    began_at: began_at(now, told.age_ms, told.ran_ms),
+                .map(|wire_strike| Strike {
+                    replica: wire_strike.replica,
+                    at: moment(now, wire_strike.age_ms),
+                    is_coincident: wire_strike.is_coincident,
+                    began_at: began_at(now, wire_strike.age_ms, wire_strike.ran_ms),
                 })
                 .collect(),
-            is_quarantined: told.is_quarantined,
-            trials: told.trials,
+            is_quarantined: wire_record.is_quarantined,
+            trials: wire_record.trials,
             stored: Stored {
-                position: stored_position(told),
-                is_quarantined: told.is_stored_quarantined,
-                apart_trials: told.stored_apart_trials,
+                position: stored_position(wire_record),
+                is_quarantined: wire_record.is_stored_quarantined,
+                isolated_trials: wire_record.stored_isolated_trials,
             },
-            cleared_at: moment(now, told.cleared_age_ms),
-            good_ends: told.good_ends,
-            apart_trials: told.apart_trials,
-            apart_at: told
-                .apart_age_ms
+            cleared_at: moment(now, wire_record.cleared_age_ms),
+            completions: wire_record.completions,
+            isolated_trials: wire_record.isolated_trials,
+            isolated_trial_at: wire_record
+                .isolated_trial_age_ms
                 .map_or(Duration::ZERO, |age_ms| moment(now, age_ms)),
         };
-        let fingerprint = Fingerprint::from_number(told.fingerprint);
+        let fingerprint = Fingerprint::from_number(wire_record.fingerprint);
         let role = role(&directory, fingerprint, state.peers.own());
         has_news |= state
             .quarantine
-            .take_record(fingerprint, record, role, Teller::Peer);
+            .merge_record(fingerprint, record, role, RecordSource::Peer);
     }
     has_news
 }
@@ -240,7 +245,7 @@
         fingerprint: fingerprint.number(),
         generation: record.generation,
         strikes: strikes
-            .map(|strike| WireStruck {
+            .map(|strike| WireRecordStrike {
                 replica: strike.replica,
                 age_ms: age_ms(now, strike.at),
                 is_coincident: strike.is_coincident,
@@ -253,18 +258,19 @@
         is_stored_quarantined: record.stored.is_quarantined,
         cleared_age_ms: age_ms(now, record.cleared_at),
         stored_era: stored.and_then(|stored| stored.era.number()),
-        good_ends: record.good_ends,
-        apart_trials: record.apart_trials,
-        apart_age_ms: (record.apart_trials > 0).then(|| age_ms(now, record.apart_at)),
-        stored_apart_trials: record.stored.apart_trials,
+        completions: record.completions,
+        isolated_trials: record.isolated_trials,
+        isolated_trial_age_ms: (record.isolated_trials > 0)
+            .then(|| age_ms(now, record.isolated_trial_at)),
+        stored_isolated_trials: record.stored.isolated_trials,
     }
 }
 
-/// Where the store keeps a record, as another daemon tells.
-fn stored_position(told: &WireRecord) -> Option<StorePosition> {
+/// The store position of a record according to another gateway.
+fn stored_position(wire_record: &WireRecord) -> Option<StorePosition> {
     let position = StorePosition {
-        era: StoreEra::told(told.stored_era),
-        revision: told.stored_revision,
+        era: StoreEra::from_number(wire_record.stored_era),
+        revision: wire_record.stored_revision,
     };
     Some(position).filter(|position| position.revision > 0)
 }
@@ -282,7 +288,7 @@
     Some(age_ms(strike.at, began_at))
 }
 
-/// When a request began to run at a replica that ended so long ago.
+/// When a request started at a replica that terminated `age_ms` ago.
 fn began_at(now: Duration, age_ms: u64, ran_ms: Option<u64>) -> Option<Duration> {
     let ran = Duration::from_millis(ran_ms?);
     Some(moment(now, age_ms).saturating_sub(ran))
--- a/crates/gateway/src/peers/usage.rs
+++ b/crates/gateway/src/peers/usage.rs
@@ -1,6 +1,6 @@
-//! Tells what tenants used, where they have limits ([`crate::quota`]).
+//! Reports the usage of tenants with limits ([`crate::quota`]).
 //!
-//! Members tell the leader of their group, leaders each other and their members.
+//! Members report to the leader of their group; leaders report to each other and to their members.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,44 +9,44 @@
 
 use super::directory::name_digest;
 use super::message::{Message, Report, WireGroupUsage, WireTotals, WireUsage};
-use super::news::tell_other_groups;
+use super::news::send_to_other_groups;
 use super::send::send;
 use super::spread::spread;
 use crate::state::GatewayState;
 
-/// The time between two reports. In it a tenant that suddenly asks for more is admitted beyond its limit.
-const INTERVAL: Duration = Duration::from_millis(50);
+/// The time between two reports. During it a tenant whose demand rises suddenly is admitted beyond its limit.
+const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The same where nothing was used: that the daemons are in touch is a report too.
-const QUIET_INTERVAL: Duration = Duration::from_millis(200);
+/// The same if nothing was used: such a report shows that the gateways are in touch.
+const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Totals of one datagram, which so stays below 1,200 bytes: each takes up to 50 of them.
+/// The number of totals in a datagram, which keeps it below 1,200 bytes: each takes up to 50 of them.
 const MAX_TOTALS: usize = 20;
 
-/// Tells what tenants used, for ever.
-pub(super) async fn tell(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
-    let mut told = Vec::new();
-    let mut told_at = Instant::now();
+/// Reports usage in an endless loop.
+pub(super) async fn send_updates(state: Rc<GatewayState>, socket: Rc<tokio::net::UdpSocket>) {
+    let mut last_reported = Vec::new();
+    let mut last_reported_at = Instant::now();
     loop {
-        tokio::time::sleep(INTERVAL).await;
-        if !state.quotas.are_in_force() {
-            tokio::time::sleep(QUIET_INTERVAL).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
+        if !state.quotas.has_limits() {
+            tokio::time::sleep(IDLE_REPORT_INTERVAL).await;
             continue;
         }
         let now = Instant::now();
         let own = state.quotas.own_usage(now);
-        let is_quiet = own == told;
+        let is_unchanged = own == last_reported;
         if state.peers.is_leader.get() {
             lead(&state, &socket, own.clone(), now).await;
-        } else if !is_quiet || now.duration_since(told_at) >= QUIET_INTERVAL {
-            tell_leader(&state, &socket, &own).await;
-            told_at = now;
+        } else if !is_unchanged || now.duration_since(last_reported_at) >= IDLE_REPORT_INTERVAL {
+            send_to_leader(&state, &socket, &own).await;
+            last_reported_at = now;
         }
-        told = own;
+        last_reported = own;
     }
 }
 
-async fn tell_leader(state: &GatewayState, socket: &tokio::net::UdpSocket, own: &[WireTotals]) {
+async fn send_to_leader(state: &GatewayState, socket: &tokio::net::UdpSocket, own: &[WireTotals]) {
     let Some(leader) = state.peers.leader.borrow().clone() else {
         return;
     };
@@ -59,49 +59,51 @@
 fn usage_of(state: &GatewayState, totals: &[WireTotals]) -> WireUsage {
     WireUsage {
         daemon: name_digest(&state.peers.own().name),
-        life: state.life,
+        incarnation: state.incarnation,
         totals: totals.to_vec(),
         sent_ms: Some(state.quotas.now_ms(Instant::now())),
     }
 }
 
-/// Sums up what the group used, and tells it to the leaders of other groups and to the members.
+/// Sums up the group's usage, and reports it to the leaders of other groups and to the members.
 async fn lead(
     state: &GatewayState,
     socket: &tokio::net::UdpSocket,
     own: Vec<WireTotals>,
     now: Instant,
 ) {
-    state.quotas.take_member(&usage_of(state, &own), now);
+    state
+        .quotas
+        .record_member_usage(&usage_of(state, &own), now);
     let sums = state.quotas.group_usage(now);
     let mut of_groups = Vec::new();
-    for totals in parts(&sums) {
+    for totals in datagram_chunks(&sums) {
         let usage = WireGroupUsage {
             group: state.peers.directory().group_name.clone(),
-            life: state.life,
+            incarnation: state.incarnation,
             totals: totals.to_vec(),
             leader: name_digest(&state.peers.own().name),
             sent_ms: Some(state.quotas.now_ms(now)),
         };
-        tell_other_groups(state, socket, &Message::GroupUsage(usage.clone())).await;
-        state.quotas.take_group(&usage, now);
+        send_to_other_groups(state, socket, &Message::GroupUsage(usage.clone())).await;
+        state.quotas.record_group_usage(&usage, now);
         of_groups.push(usage);
     }
-    of_groups.extend(state.quotas.take_incoming());
+    of_groups.extend(state.quotas.take_queued_reports());
     for groups in pack(of_groups) {
         spread(state, socket, Report::Usage(groups)).await;
     }
 }
 
-/// The parts that fit into a datagram; one without any totals says that nothing was used.
-fn parts(totals: &[WireTotals]) -> Vec<&[WireTotals]> {
+/// The chunks that fit into a datagram; a single empty chunk reports that nothing was used.
+fn datagram_chunks(totals: &[WireTotals]) -> Vec<&[WireTotals]> {
     match totals.is_empty() {
         true => vec![totals],
         false => totals.chunks(MAX_TOTALS).collect(),
     }
 }
 
-/// Shares out reports of groups among datagrams.
+/// Distributes the reports of groups among datagrams.
 fn pack(of_groups: Vec<WireGroupUsage>) -> Vec<Vec<WireGroupUsage>> {
     let mut datagrams: Vec<Vec<WireGroupUsage>> = Vec::new();
     let mut size = usize::MAX;
--- a/crates/gateway/src/permits/issuer.rs
+++ b/crates/gateway/src/permits/issuer.rs
@@ -1,4 +1,4 @@
-//! All permits that one daemon issues.
+//! The permits that this gateway issues.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,60 +9,62 @@
 use super::bucket::TokenBucket;
 use crate::protocol::RequestRate;
 
-/// The least rate at which permits are issued, in requests a second: only an answer tells that a limit has ended, so a replica
-/// that takes next to nothing is asked every 5 s.
-pub const LEAST_RATE: f64 = 0.2;
+/// The lowest rate at which permits are issued, in requests a second. Only an answer shows that a limit has
+/// ended, so even a replica that accepts next to nothing gets a request every 5 s.
+pub const MIN_RATE: f64 = 0.2;
 
-/// Replicas for which permits are issued at the most, some 50 bytes each.
+/// Limit of the replicas for which permits are issued, at some 50 bytes each.
 const MAX_BUCKETS: usize = 16_384;
 
-/// After this time a bucket that nobody asks for is forgotten where there are many: it is full, and begins empty.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+/// How long an unused bucket is kept once there are many. It is full by then, and a new one starts empty.
+const IDLE_BUCKET_RETENTION: Duration = Duration::from_secs(60);
 
-/// The longest time after which one who is denied a permit asks again.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+/// Upper limit of the time after which a requester that is denied a permit asks again.
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
-struct Issued {
+struct IssuedBucket {
     bucket: TokenBucket,
-    asked_at: Instant,
+    last_asked_at: Instant,
 }
 
-/// The buckets by the digest of the replica's life.
+/// The buckets by the hash of the incarnation of the replica.
 #[derive(Debug, Default)]
 pub struct PermitIssuer {
-    by_life: RefCell<HashMap<u64, Issued>>,
+    by_incarnation: RefCell<HashMap<u64, IssuedBucket>>,
 }
 
 impl PermitIssuer {
-    /// Issues a permit for this life at `share` of its limit, if there is one.
+    /// Issues a permit for this incarnation at `share` of the limit `rate`, if one is available.
     ///
     /// # Errors
     ///
-    /// There is none before this time has passed.
+    /// No permit is available before the returned time has passed.
     pub fn issue(
         &self,
-        life: u64,
+        incarnation: u64,
         rate: RequestRate,
         share: f64,
         now: Instant,
     ) -> Result<(), Duration> {
-        let mut by_life = self.by_life.borrow_mut();
-        if by_life.len() >= MAX_BUCKETS && !by_life.contains_key(&life) {
-            by_life.retain(|_, issued| {
-                now.saturating_duration_since(issued.asked_at) < FORGOTTEN_AFTER
+        let mut by_incarnation = self.by_incarnation.borrow_mut();
+        if by_incarnation.len() >= MAX_BUCKETS && !by_incarnation.contains_key(&incarnation) {
+            by_incarnation.retain(|_, issued| {
+                now.saturating_duration_since(issued.last_asked_at) < IDLE_BUCKET_RETENTION
             });
-            if by_life.len() >= MAX_BUCKETS {
-                return Err(LONGEST_WAIT);
+            if by_incarnation.len() >= MAX_BUCKETS {
+                return Err(MAX_RETRY_WAIT);
             }
         }
-        let issued = by_life.entry(life).or_insert_with(|| Issued {
-            bucket: TokenBucket::empty(now),
-            asked_at: now,
-        });
-        issued.asked_at = now;
-        let per_second = rate.per_second().max(LEAST_RATE) * share;
-        let taken = issued.bucket.take(per_second, now);
-        taken.map_err(|wait| wait.min(LONGEST_WAIT))
+        let issued = by_incarnation
+            .entry(incarnation)
+            .or_insert_with(|| IssuedBucket {
+                bucket: TokenBucket::empty(now),
+                last_asked_at: now,
+            });
+        issued.last_asked_at = now;
+        let per_second = rate.per_second().max(MIN_RATE) * share;
+        let taken = issued.bucket.try_take(per_second, now);
+        taken.map_err(|wait| wait.min(MAX_RETRY_WAIT))
     }
 }
--- a/crates/gateway/src/pipeline/check_quota.rs
+++ b/crates/gateway/src/pipeline/check_quota.rs
@@ -1,4 +1,4 @@
-//! Filter: whether a request is within its tenant's limit.
+//! Filter: checks whether a request is within its tenant's quota.
 
 use driftspring_clock::Instant;
 
@@ -6,10 +6,10 @@
 use super::refusal::{Reason, Refusal, Step};
 use crate::configuration::Tenant;
 use crate::protocol::Prompt;
-use crate::quota::{Charge, Refused};
+use crate::quota::{Charge, QuotaExceeded};
 use crate::state::GatewayState;
 
-/// Charges a request to its tenant. Returns what is to be given back where it does not run.
+/// Charges a request to its tenant. Returns the charge, to be refunded if the request does not run.
 pub fn check_quota(
     state: &GatewayState,
     decoded: &Decoded,
@@ -24,15 +24,15 @@
     let tokens = prompt.map(size).filter(|tokens| *tokens > 0);
     let charged = state
         .quotas
-        .admit(tenant, tokens, state.draw_share(), Instant::now());
+        .admit(tenant, tokens, state.random_fraction(), Instant::now());
     charged.map_err(|(refused, limit)| {
         let detail = format!("tenant {}: {limit}", tenant.name);
         match refused {
-            Refused::ForNow(time) => Refusal {
+            QuotaExceeded::RetryAfter(time) => Refusal {
                 retry_after: Some(time),
                 ..Refusal::new(Step::Quota, Reason::OverQuota, detail)
             },
-            Refused::ForGood => Refusal::new(Step::Quota, Reason::BeyondQuota, detail),
+            QuotaExceeded::ExceedsBurst => Refusal::new(Step::Quota, Reason::BeyondQuota, detail),
         }
     })
 }
--- a/crates/gateway/src/pipeline/choose_replica.rs
+++ b/crates/gateway/src/pipeline/choose_replica.rs
@@ -1,4 +1,4 @@
-//! Filter: chooses the replica for one attempt, and what it may start from.
+//! Filter: chooses the replica for one attempt, and where it gets cached prompt work from.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,65 +10,65 @@
 use super::context::RequestContext;
 use super::prompt_sources::{PromptSources, Supply};
 use super::refusal::{Reason, Refusal, Step};
-use super::retry_after::return_after_pause;
+use super::retry_after::retry_after_pause;
 use crate::cache::Prefix;
 use crate::notices::Pause;
-use crate::protocol::ReplicaLife;
-use crate::replicas::{Candidate, MOST_COMPARED, PlacementKey, Replica, ServiceReplicas, place};
+use crate::protocol::ReplicaIncarnation;
+use crate::replicas::{Candidate, MAX_COMPARED, PlacementKey, Replica, ServiceReplicas, place};
 use crate::state::GatewayState;
 
-/// Shared tokens from which a prompt is worth copying to a store; fewer are read again in no time.
-const WORTH_KEEPING: u64 = 512;
+/// Minimum number of shared tokens for a prompt to be worth saving to a KV store; fewer are recomputed quickly.
+const MIN_SHARED_TOKENS_TO_SAVE: u64 = 512;
 
-/// A prompt is copied only if its own part has at most the shared tokens divided by this: the own part goes
-/// along, and drives out what others need.
-const MOST_OWN: u64 = 1;
+/// Minimum ratio of a prompt's shared tokens to its own for it to be saved: the own part is copied too, and evicts what
+/// others need.
+const MIN_SHARED_TO_OWN_RATIO: u64 = 1;
 
-/// After this time answers with older weights are worth less.
-const WORTH_LESS_AFTER: Duration = Duration::from_millis(1400);
+/// Time after which answers computed with older weights are worth less.
+const OUTDATED_PENALTY_DELAY: Duration = Duration::from_millis(1400);
 
-/// Of the few replicas that are compared, so many must be able to serve: else others are looked at too.
-const LEAST_COMPARED: usize = MOST_COMPARED / 4;
+/// Minimum number of eligible replicas among the few that are compared; with fewer, all replicas are considered.
+const MIN_ELIGIBLE_COMPARED: usize = MAX_COMPARED / 4;
 
-/// A replica for one attempt.
+/// A replica chosen for one attempt.
 #[derive(Debug)]
 pub struct Choice {
     /// The replica.
     pub replica: Rc<Replica>,
-    /// The version of the weights that it is believed to have.
+    /// Version of the weights that it is believed to have.
     pub weights_version: Option<u64>,
-    /// The name under which cached prompt work is kept and found.
+    /// Scope in which cached prompt work is stored and looked up.
     pub cache_scope: Option<String>,
-    /// Where to take cached prompt work from.
+    /// Where to fetch cached prompt work from.
     pub fetch_from: Option<SocketAddr>,
-    /// Where to copy cached prompt work to.
+    /// Where to save cached prompt work to.
     pub save_to: Option<SocketAddr>,
-    /// The shared prefixes of the prompt, under the replica's weights.
+    /// Shared prefixes of the prompt, under the replica's weights.
     pub prefixes: Vec<Prefix>,
-    /// Tokens of the prompt that it probably keeps.
-    pub held_tokens: u64,
-    /// Tokens of the prompt that it probably has to read.
-    pub tokens_to_read: u64,
-    /// Whether the prompt's shared parts belong there.
+    /// Tokens of the prompt that it probably has cached.
+    pub cached_tokens: u64,
+    /// Tokens of the prompt that it probably has to prefill.
+    pub tokens_to_prefill: u64,
+    /// Whether it is the home of the prompt's shared parts (the replica that their placement key maps to).
     pub is_home: bool,
-    /// The rank under which it is sent; 0 goes first.
+    /// Rank in the replica's queue; 0 goes first.
     pub rank: u8,
-    /// Replicas among which it was chosen.
+    /// Number of replicas among which it was chosen.
     pub candidates: usize,
 }
 
-/// Chooses among the replicas that were not `tried`, where the request will begin at one of them in its caller's
-/// time.
+/// Chooses among the replicas that were not `tried`, if the request will begin at one of them before its caller gives
+/// it up.
 pub fn choose(
     state: &GatewayState,
     context: &RequestContext,
-    tried: &[ReplicaLife],
+    tried: &[ReplicaIncarnation],
     progress: Progress,
 ) -> Result<Choice, Refusal> {
     let listed = state.registry.of_service(&context.service);
     let key = context.placement_key();
-    let admitted = match listed.len() > MOST_COMPARED {
-        true => admit_to_few(state, context, key, tried, progress, &listed),
+    let admitted = match listed.len() > MAX_COMPARED {
+        true => admit_to_compared(state, context, key, tried, progress, &listed),
         false => None,
     };
     let admitted = match admitted {
@@ -90,7 +90,7 @@
     let views: Vec<Candidate> = candidates
         .iter()
         .zip(&supplies)
-        .map(|(replica, supply)| view(state, context, replica, supply))
+        .map(|(replica, supply)| to_candidate(state, context, replica, supply))
         .collect();
     let (position, home) =
         place(&views, key, state.draw()).ok_or_else(|| no_replica("none is listed"))?;
@@ -99,13 +99,13 @@
     let store = store.map(|store| store.address);
     let weights_version = context.version_of(&replica);
     let cache_scope = context.cache_scope(weights_version);
-    let save_to = store.filter(|store| wants_copy(state, context, *store, cache_scope.as_deref()));
+    let save_to = store.filter(|store| should_save(state, context, *store, cache_scope.as_deref()));
     Ok(Choice {
-        tokens_to_read: tokens_to_read(context, &supply),
+        tokens_to_prefill: tokens_to_prefill(context, &supply),
         prefixes: sources.prefixes(&replica),
         weights_version,
         cache_scope,
-        held_tokens: supply.held_tokens,
+        cached_tokens: supply.cached_tokens,
         fetch_from: supply.source.map(|source| source.address).or(store),
         save_to,
         is_home: position == home,
@@ -115,8 +115,8 @@
     })
 }
 
-/// Whether the shared parts of the prompt are worth copying to the store, and not known to be there.
-fn wants_copy(
+/// Whether the shared parts of the prompt are worth saving to the store, and not known to be there.
+fn should_save(
     state: &GatewayState,
     context: &RequestContext,
     store: SocketAddr,
@@ -125,48 +125,49 @@
     let shared = context.shared_parts();
     let shared_tokens = context.shared_tokens();
     let own_tokens = context.input_tokens().saturating_sub(shared_tokens);
-    let is_worth_it = shared_tokens >= WORTH_KEEPING && own_tokens <= shared_tokens / MOST_OWN;
+    let is_worth_it = shared_tokens >= MIN_SHARED_TOKENS_TO_SAVE
+        && own_tokens <= shared_tokens / MIN_SHARED_TO_OWN_RATIO;
     let Some(scope) = scope.filter(|_| is_worth_it) else {
         return false;
     };
     state
         .cached
-        .wants_copy(store, scope, shared, Instant::now())
+        .try_start_copy(store, scope, shared, Instant::now())
 }
 
-/// Admits the request to the few replicas of many that can win, where most of them may serve and it will begin in time there.
-/// Otherwise all have to be looked at.
-fn admit_to_few(
+/// Admits the request to a few replicas out of many: those that can win the placement. Returns nothing if too few of
+/// them are eligible or the request would begin late there; then all replicas have to be considered.
+fn admit_to_compared(
     state: &GatewayState,
     context: &RequestContext,
     key: Option<PlacementKey>,
-    tried: &[ReplicaLife],
+    tried: &[ReplicaIncarnation],
     progress: Progress,
     listed: &ServiceReplicas,
 ) -> Option<Admitted> {
-    let few = listed.compared(key, state.draw());
-    let eligible_for = |rank| eligible(state, context, &few, tried, rank);
+    let compared = listed.select_for_comparison(key, state.draw());
+    let eligible_for = |rank| eligible(state, context, &compared, tried, rank);
     let admitted = admit(state, context, progress, eligible_for).ok()?;
-    let is_enough = admitted.candidates.len() >= LEAST_COMPARED;
-    (is_enough && admitted.rank == context.priority()).then_some(admitted)
+    let has_enough = admitted.candidates.len() >= MIN_ELIGIBLE_COMPARED;
+    (has_enough && admitted.rank == context.priority()).then_some(admitted)
 }
 
-/// The replicas that may serve: listed, not leaving, with weights that may still be used; of these, if
-/// there are any, those that can be reached and aren't loading.
+/// Replicas that may serve the request: listed, not leaving, not tried, with weights that may still be used, and not
+/// paused. Among these, reachable ones that are not loading weights are preferred, if there are any.
 fn eligible(
     state: &GatewayState,
     context: &RequestContext,
     listed: &[Rc<Replica>],
-    tried: &[ReplicaLife],
+    tried: &[ReplicaIncarnation],
     rank: u8,
 ) -> Result<Vec<Rc<Replica>>, Refusal> {
     let now = Instant::now();
-    let is_staying =
-        |replica: &&Rc<Replica>| replica.is_staying(now) && !tried.contains(&replica.life);
-    let mut staying: Vec<Rc<Replica>> = listed.iter().filter(is_staying).cloned().collect();
+    let is_eligible =
+        |replica: &&Rc<Replica>| replica.is_eligible(now) && !tried.contains(&replica.incarnation);
+    let mut staying: Vec<Rc<Replica>> = listed.iter().filter(is_eligible).cloned().collect();
     if staying.is_empty() {
-        let left = listed.iter().filter(|replica| replica.is_staying(now));
-        return Err(match soonest_end(left, now) {
+        let left = listed.iter().filter(|replica| replica.is_eligible(now));
+        return Err(match earliest_pause_end(left, now) {
             Some((replica, pause)) => all_paused(state, replica, &pause, now),
             None => no_replica("all are leaving, tried or unknown"),
         });
@@ -176,23 +177,23 @@
         return Err(no_replica("none has weights that may be used"));
     }
     retain_unpaused(state, &mut staying, now)?;
-    let is_well = |replica: &&Rc<Replica>| {
+    let is_available = |replica: &&Rc<Replica>| {
         !replica.health.is_suspect(now) && replica.loading_since().is_none()
     };
-    let well: Vec<Rc<Replica>> = staying.iter().filter(is_well).cloned().collect();
-    match well.is_empty() {
+    let available: Vec<Rc<Replica>> = staying.iter().filter(is_available).cloned().collect();
+    match available.is_empty() {
         true => Ok(staying),
-        false => Ok(well),
+        false => Ok(available),
     }
 }
 
-/// Keeps the replicas that take requests now, as they say themselves.
+/// Keeps the replicas that accept requests now, according to their own notices.
 fn retain_unpaused(
     state: &GatewayState,
     replicas: &mut Vec<Rc<Replica>>,
     now: Instant,
 ) -> Result<(), Refusal> {
-    if let Some((replica, pause)) = soonest_end(replicas.iter(), now) {
+    if let Some((replica, pause)) = earliest_pause_end(replicas.iter(), now) {
         return Err(all_paused(state, replica, &pause, now));
     }
     replicas.retain(|replica| match replica.notices.pause(now) {
@@ -205,22 +206,22 @@
     Ok(())
 }
 
-/// The first of these replicas that takes requests again, where all have asked for a pause.
-fn soonest_end<'a>(
+/// The replica whose pause ends first, if all have asked for a pause.
+fn earliest_pause_end<'a>(
     replicas: impl Iterator<Item = &'a Rc<Replica>>,
     now: Instant,
 ) -> Option<(&'a Replica, Pause)> {
-    let mut soonest: Option<(&Replica, Pause)> = None;
+    let mut earliest: Option<(&Replica, Pause)> = None;
     for replica in replicas {
         let pause = replica.notices.pause(now)?;
-        if soonest.is_none_or(|(_, known)| pause.until < known.until) {
-            soonest = Some((replica, pause));
+        if earliest.is_none_or(|(_, known)| pause.until < known.until) {
+            earliest = Some((replica, pause));
         }
     }
-    soonest
+    earliest
 }
 
-/// The refusal where this replica is the first to take requests again.
+/// Refusal if all replicas are paused; `replica` is the first that accepts requests again.
 fn all_paused(state: &GatewayState, replica: &Replica, pause: &Pause, now: Instant) -> Refusal {
     replica.notices.log_passed_over(replica.id(), pause, now);
     let time = pause.until.saturating_duration_since(now);
@@ -232,14 +233,15 @@
     paused(state, time, detail)
 }
 
-/// The refusal of a request that no replica takes for so long.
+/// Refusal of a request that no replica accepts for `time`.
 pub fn paused(state: &GatewayState, time: Duration, detail: String) -> Refusal {
     Refusal {
-        retry_after: Some(return_after_pause(time, state.draw())),
+        retry_after: Some(retry_after_pause(time, state.draw())),
         ..Refusal::new(Step::Choose, Reason::Paused, detail)
     }
 }
 
+/// Whether the replica's weights may still be used when the request is expected to begin there.
 fn has_usable_weights(
     state: &GatewayState,
     context: &RequestContext,
@@ -250,24 +252,28 @@
     let Some(prompt) = context.prompt() else {
         return true;
     };
-    // An entry that names no weights is not that of a replica that runs models.
+    // An entry without weights was not written by a replica that runs models.
     if replica.entry().models.is_empty() {
         return false;
     }
     let now = Instant::now();
-    let expected_wait = replica.waits.expected(rank, now);
+    let expected_wait = replica.queue_waits.expected_wait(rank, now);
     replica.version_of(&prompt.model).is_none_or(|version| {
         let weights = state.weights.borrow();
         weights.may_serve(&prompt.model, version, now, deadline, expected_wait)
     })
 }
 
-/// Whether an answer with the replica's weights is worth less.
-fn is_worth_less(state: &GatewayState, context: &RequestContext, replica: &Replica) -> bool {
-    outdated_for(state, context, replica).is_some_and(|age| age >= WORTH_LESS_AFTER)
+/// Whether an answer computed with the replica's weights is worth less.
+fn is_penalized_as_outdated(
+    state: &GatewayState,
+    context: &RequestContext,
+    replica: &Replica,
+) -> bool {
+    outdated_for(state, context, replica).is_some_and(|age| age >= OUTDATED_PENALTY_DELAY)
 }
 
-/// For how long newer weights than the replica's have been wanted.
+/// How long newer weights than the replica's have been wanted.
 fn outdated_for(
     state: &GatewayState,
     context: &RequestContext,
@@ -279,14 +285,15 @@
     weights.outdated_for(&prompt.model, version, Instant::now())
 }
 
-/// Tokens that the replica has to read: all but those that it keeps or fetches.
-fn tokens_to_read(context: &RequestContext, supply: &Supply) -> u64 {
+/// Tokens that the replica has to prefill: all that it neither has cached nor fetches.
+fn tokens_to_prefill(context: &RequestContext, supply: &Supply) -> u64 {
     let fetched = supply.source.map_or(0, |source| source.tokens);
-    let known = supply.held_tokens.max(fetched);
+    let known = supply.cached_tokens.max(fetched);
     context.input_tokens().saturating_sub(known)
 }
 
-fn view(
+/// The replica as the placement compares it.
+fn to_candidate(
     state: &GatewayState,
     context: &RequestContext,
     replica: &Replica,
@@ -295,12 +302,12 @@
     Candidate {
         id_hash: replica.id_hash,
         open_requests: replica.open_requests(),
-        reading: replica.reading(Instant::now()),
-        is_outdated: is_worth_less(state, context, replica),
-        failure_share: replica.health.failure_share(),
-        is_near: replica.entry().zone == state.settings.zone,
-        fetching: supply.fetching,
-        reading_again: supply.reading,
+        remaining_prefill: replica.remaining_prefill(Instant::now()),
+        has_outdated_weights: is_penalized_as_outdated(state, context, replica),
+        failure_rate: replica.health.failure_rate(),
+        is_in_own_zone: replica.entry().zone == state.settings.zone,
+        fetch_time: supply.fetch_cost,
+        recompute_time: supply.prefill_cost,
     }
 }
 
--- a/crates/gateway/src/pipeline/decode.rs
+++ b/crates/gateway/src/pipeline/decode.rs
@@ -14,7 +14,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const EXPECT: HeaderName = http::header::EXPECT;
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -28,29 +28,29 @@
     EXPECT,
 ];
 
-/// Whether a header concerns one connection only, or is set anew for each.
+/// Whether a header applies to a single connection, or is set anew for each.
 pub fn is_hop_by_hop(name: &HeaderName) -> bool {
     HOP_BY_HOP.contains(name)
 }
 
-/// A request whose head was read.
+/// Head of a request, decoded.
 #[derive(Debug)]
 pub struct Decoded {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// What its head says.
+    /// Control headers of the request.
     pub meta: RequestMeta,
-    /// The host that it names, without a port.
+    /// Host that the request names, without the port, in lower case.
     pub host: String,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query, as they came.
+    /// Path and query, unchanged.
     pub path: String,
-    /// The headers that are passed on.
+    /// Headers that are forwarded.
     pub headers: HeaderMap,
 }
 
-/// Reads the head; the caller's control headers and those of its connection are left out.
+/// Decodes the head. The caller's control headers and those of its connection are not forwarded.
 pub fn decode(state: &GatewayState, request: &HttpRequest) -> Result<Decoded, Refusal> {
     let all = convert(request);
     let malformed = |detail: String| Refusal::new(Step::Decode, Reason::MalformedHead, detail);
@@ -74,7 +74,7 @@
         host,
         method: request.method().clone(),
         path: path.to_owned(),
-        headers: passed_on(state, &all),
+        headers: forwarded_headers(state, &all),
     })
 }
 
@@ -88,24 +88,25 @@
     headers
 }
 
-fn passed_on(state: &GatewayState, all: &HeaderMap) -> HeaderMap {
-    let named_by_connection = named_by_connection(all);
+/// Headers that are forwarded to the replica.
+fn forwarded_headers(state: &GatewayState, all: &HeaderMap) -> HeaderMap {
+    let listed_in_connection = listed_in_connection(all);
     let mut headers = HeaderMap::with_capacity(all.len());
     for (name, value) in all {
-        let is_passed = !is_hop_by_hop(name)
-            && !named_by_connection
+        let is_forwarded = !is_hop_by_hop(name)
+            && !listed_in_connection
                 .iter()
-                .any(|named| named == name.as_str())
+                .any(|listed| listed == name.as_str())
             && state.platform.passes_to_replica(name);
-        if is_passed {
+        if is_forwarded {
             headers.append(name.clone(), value.clone());
         }
     }
     headers
 }
 
-/// Further headers that the caller's `Connection` names.
-fn named_by_connection(all: &HeaderMap) -> Vec<String> {
+/// Further hop-by-hop headers, which the caller's `Connection` header lists.
+fn listed_in_connection(all: &HeaderMap) -> Vec<String> {
     let values = all.get_all(CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     texts
--- a/crates/gateway/src/pipeline/dispatch.rs
+++ b/crates/gateway/src/pipeline/dispatch.rs
@@ -13,41 +13,41 @@
 
 use super::choose_replica::Choice;
 use super::context::RequestContext;
-use super::withdrawal::{is_too_old, time_at_replica, until_too_old};
+use super::withdrawal::{are_weights_too_old, replica_time_limit, until_weights_too_old};
 use crate::peers::message::WirePrompt;
 use crate::protocol::Dispatch;
-use crate::replicas::{OpenWork, Waiting};
+use crate::replicas::{OpenRequestGuard, QueuedRequest};
 use crate::state::GatewayState;
 use crate::upstream::{Answer, Connection, SendFailure};
 
-/// Why a request is not sent though a connection has come up.
-const TOO_OLD_BY_NOW: &str = "its weights are too old by now";
+/// Why a request is not sent although the connection is established.
+const WEIGHTS_TOO_OLD: &str = "its weights have become too old";
 
-/// An answer whose head has come, and the count of the work that it stands for.
+/// An answer whose head has arrived.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenAnswer {
     /// The answer.
     pub answer: Answer,
-    /// Counts the request at its replica for as long as the answer is open.
-    pub _work: OpenWork,
-    /// Its wait at the replica, as long as it has not begun.
-    waiting: Option<Waiting>,
+    /// Counts the request as open at its replica until the answer is closed.
+    pub _work: OpenRequestGuard,
+    /// The request's wait in the replica's queue, until it begins.
+    queued: Option<QueuedRequest>,
 }
 
-impl Opened {
-    /// Whether the replica has begun to answer: of a stream an event has come, of others the head.
+impl OpenAnswer {
+    /// Whether the replica has begun to answer: the first event of a stream has arrived, or the head of another answer.
     pub fn has_begun(&self) -> bool {
-        self.waiting.is_none()
+        self.queued.is_none()
     }
 
-    /// Takes in that it has; later calls change nothing.
+    /// Records that the replica has begun to answer; later calls have no effect.
     pub fn note_begun(&mut self, state: &GatewayState, context: &RequestContext, choice: &Choice) {
-        let Some(waiting) = self.waiting.take() else {
+        let Some(queued) = self.queued.take() else {
             return;
         };
         let now = Instant::now();
         let metrics = &state.status.metrics;
-        metrics.note_begun(&waiting.began(now));
+        metrics.note_begun(&queued.record_start(now));
         if let Some((prompt, version)) = context.prompt().zip(choice.weights_version) {
             let wanted = state.weights.borrow();
             if let Some(age) = wanted.outdated_for(&prompt.model, version, now) {
@@ -57,89 +57,92 @@
     }
 }
 
-/// Why a request that goes to a replica gets no head of an answer.
-pub enum Unanswered {
+/// Why a request gets no head of an answer from a replica.
+pub enum SendError {
     /// It could not be sent, or its answer was lost.
     Failed(SendFailure),
     /// It waited until the replica's weights became too old.
     Withdrawn,
-    /// It was not sent: while its connection came up the replica asked for a rest.
+    /// It was not sent: the replica asked for a cooldown while the connection was being established.
     Resting,
 }
 
-/// Sends the request and waits for the head of the answer as long as it may begin there. A kept connection that
-/// turns out to be closed before a byte was sent is replaced.
+/// Sends the request and waits for the head of the answer for as long as the request may begin there. A pooled
+/// connection that turns out to be closed before a byte was sent is replaced.
 pub async fn send(
     state: &GatewayState,
     context: &RequestContext,
     choice: &Choice,
     last_event_id: Option<&str>,
-) -> Result<Opened, Unanswered> {
+) -> Result<OpenAnswer, SendError> {
     let pool = &choice.replica.pool;
-    let work = OpenWork::begin(&choice.replica);
+    let work = OpenRequestGuard::begin(&choice.replica);
     note_prompt(state, choice);
     loop {
-        let mut connection = connect(state, choice).await.map_err(Unanswered::Failed)?;
-        if choice.replica.notices.is_resting(Instant::now()) {
+        let mut connection = connect(state, choice).await.map_err(SendError::Failed)?;
+        if choice.replica.notices.is_cooling_down(Instant::now()) {
             pool.put(connection);
-            return Err(Unanswered::Resting);
+            return Err(SendError::Resting);
         }
-        // While the connection came up: a request that is not sent has not run, one that is withdrawn may have.
-        if is_too_old(state, context, choice) {
-            return Err(Unanswered::Failed(not_sent(choice, TOO_OLD_BY_NOW)));
+        // Checked again after connecting: a request that is not sent has not run, one that is withdrawn may have.
+        if are_weights_too_old(state, context, choice) {
+            return Err(SendError::Failed(not_sent(choice, WEIGHTS_TOO_OLD)));
         }
-        let request = build(state, context, choice, last_event_id).map_err(Unanswered::Failed)?;
-        let waits = &choice.replica.waits;
-        let waiting = Waiting::begin(waits, choice.rank, Instant::now());
-        log_sent(state, context, choice, &connection, waiting.expected());
+        let request =
+            build_request(state, context, choice, last_event_id).map_err(SendError::Failed)?;
+        let waits = &choice.replica.queue_waits;
+        let queued = QueuedRequest::begin(waits, choice.rank, Instant::now());
+        log_sent(state, context, choice, &connection, queued.expected());
         let answer = tokio::select! {
             biased;
             answer = connection.send(request) => answer,
-            () = until_too_old(state, context, choice) => return Err(Unanswered::Withdrawn),
+            () = until_weights_too_old(state, context, choice) => return Err(SendError::Withdrawn),
         };
         match answer {
             Ok(response) => {
                 let answer = Answer::new(response, connection, Rc::clone(pool));
-                return Ok(Opened {
+                return Ok(OpenAnswer {
                     answer,
                     _work: work,
-                    waiting: Some(waiting),
+                    queued: Some(queued),
                 });
             }
             Err(SendFailure::NotSent { .. }) if connection.is_reused => {}
-            Err(failure) => return Err(Unanswered::Failed(failure)),
+            Err(failure) => return Err(SendError::Failed(failure)),
         }
     }
 }
 
-/// Remembers what the replica has to read and keeps from now on, and reports it to other daemons.
+/// Records what the replica has to prefill and will have cached, and reports it to other gateways.
 fn note_prompt(state: &GatewayState, choice: &Choice) {
-    if choice.tokens_to_read == 0 {
+    if choice.tokens_to_prefill == 0 {
         return;
     }
     let now = Instant::now();
     let replica = &choice.replica;
-    replica.note_prompt(choice.tokens_to_read, now);
-    let ready_at = now + replica.reading(now);
+    replica.record_prompt(choice.tokens_to_prefill, now);
+    let ready_at = now + replica.remaining_prefill(now);
     let prefixes = choice.prefixes.iter().map(|prefix| prefix.key);
-    state.holders.note(prefixes.clone(), replica, ready_at, now);
+    state
+        .holders
+        .record(prefixes.clone(), replica, ready_at, now);
     state.peers.report_prompt(WirePrompt {
         replica: replica.id().to_owned(),
-        born: replica.life.born,
-        tokens: choice.tokens_to_read,
+        born: replica.incarnation.born,
+        tokens: choice.tokens_to_prefill,
         prefixes: prefixes.map(|key| key.0).collect(),
         sender: 0,
     });
 }
 
-/// A connection to the replica. While one comes up the replica may have begun to leave: it is then not used.
+/// Returns a connection to the replica, unless the replica has begun to leave while it was established.
 async fn connect(state: &GatewayState, choice: &Choice) -> Result<Connection, SendFailure> {
     let connection = choice.replica.pool.take().await;
     let connection = connection.map_err(|error| not_sent(choice, &error.to_string()))?;
-    let is_listed = state.registry.is_current(&choice.replica.life);
-    match is_listed && choice.replica.is_staying(Instant::now()) {
+    let is_listed = state.registry.is_current(&choice.replica.incarnation);
+    match is_listed && choice.replica.is_eligible(Instant::now()) {
         true => Ok(connection),
-        false => Err(not_sent(choice, "it is leaving by now")),
+        false => Err(not_sent(choice, "it is leaving")),
     }
 }
 
@@ -150,7 +153,7 @@
     }
 }
 
-fn build(
+fn build_request(
     state: &GatewayState,
     context: &RequestContext,
     choice: &Choice,
@@ -158,7 +161,7 @@
 ) -> Result<Request<Full<Bytes>>, SendFailure> {
     let dispatch = Dispatch {
         replica: choice.replica.id().to_owned(),
-        deadline: time_at_replica(state, context, choice),
+        deadline: replica_time_limit(state, context, choice),
         tenant: context.tenant.as_ref().map(|tenant| tenant.name.clone()),
         priority: context.prompt().map(|_| choice.rank),
         weights_version: choice.weights_version,
@@ -198,17 +201,17 @@
         choice.is_home,
         choice.candidates,
         choice.replica.open_requests(),
-        choice.replica.reading(Instant::now()),
+        choice.replica.remaining_prefill(Instant::now()),
         choice.rank,
-        choice.held_tokens,
-        choice.tokens_to_read,
+        choice.cached_tokens,
+        choice.tokens_to_prefill,
         choice.weights_version,
         choice.fetch_from,
         choice.save_to.is_some(),
         context.configuration.version,
         state.currency.age(),
         context.time_left(),
-        time_at_replica(state, context, choice),
+        replica_time_limit(state, context, choice),
         connection.is_reused
     );
 }
--- /dev/null
+++ b/crates/gateway/src/quarantine/lost_answers.rs
@@ -0,0 +1,126 @@
+//! Finds out whether a replica has crashed or only broke off an answer.
+//!
+//! A broken answer proves little: replicas reset connections and corrupt answers, links fail, and gateway
+//! machines freeze. A crashed process shows at its address: nothing listens there, and the connection is
+//! refused.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+use driftspring_telemetry::events::gateway;
+use driftspring_telemetry::log_event;
+
+use super::{Fingerprint, Strike, role};
+use crate::protocol::ReplicaIncarnation;
+use crate::replicas::Replica;
+use crate::state::GatewayState;
+use crate::upstream::is_refused;
+
+/// How long lost answers of one replica are gathered before its address is probed. When a replica crashed,
+/// its connections broke within 2 ms of each other at seven gateways (logs of an incident); a replica takes
+/// seconds to restart.
+const GATHER_WINDOW: Duration = Duration::from_millis(5);
+
+/// The maximum number of lost answers remembered per replica until its address has been probed; a replica
+/// serves fewer requests of one gateway at once.
+const MAX_LOST_ANSWERS: usize = 256;
+
+/// The maximum number of fingerprints in a log line.
+const MAX_LOGGED: usize = 24;
+
+/// Lost answers by replica, until it is known whether the replica has crashed.
+#[derive(Debug, Default)]
+pub struct LostAnswers(RefCell<HashMap<ReplicaIncarnation, Vec<LostAnswer>>>);
+
+/// An answer that broke off.
+#[derive(Debug, Clone, Copy)]
+struct LostAnswer {
+    fingerprint: Fingerprint,
+    /// How long the request had been at the replica.
+    ran: Duration,
+}
+
+impl LostAnswers {
+    /// Adds a lost answer; returns whether it is the first one of this replica.
+    fn add(&self, replica: &ReplicaIncarnation, lost_answer: LostAnswer) -> bool {
+        let mut by_replica = self.0.borrow_mut();
+        let lost_answers = by_replica.entry(replica.clone()).or_default();
+        if lost_answers.len() < MAX_LOST_ANSWERS {
+            lost_answers.push(lost_answer);
+        }
+        lost_answers.len() == 1
+    }
+
+    fn take(&self, replica: &ReplicaIncarnation) -> Vec<LostAnswer> {
+        self.0.borrow_mut().remove(replica).unwrap_or_default()
+    }
+}
+
+/// Records that the answer of `replica` to the request with this fingerprint was lost after `ran`, and starts
+/// to find out whether the replica has crashed. A replica that is leaving may end its process: that is no
+/// crash.
+pub fn note_lost_answer(
+    state: &Rc<GatewayState>,
+    replica: &Rc<Replica>,
+    fingerprint: Fingerprint,
+    ran: Duration,
+) {
+    let is_listed = state.registry.get(replica.id()).is_some();
+    if !is_listed || replica.is_leaving() {
+        return;
+    }
+    let lost_answer = LostAnswer { fingerprint, ran };
+    if state
+        .quarantine
+        .lost_answers
+        .add(&replica.incarnation, lost_answer)
+    {
+        // Taken before the request is sent to another replica, which may crash too.
+        let ended_at = state.quarantine.now();
+        let check = check_for_crash(Rc::clone(state), Rc::clone(replica), ended_at);
+        ntex::rt::spawn(check);
+    }
+}
+
+async fn check_for_crash(state: Rc<GatewayState>, replica: Rc<Replica>, ended_at: Duration) {
+    tokio::time::sleep(GATHER_WINDOW).await;
+    let is_refused = is_refused(replica.pool.peer()).await;
+    // A gateway whose process stood still during the crash may find the next incarnation at the address.
+    let has_crashed = is_refused || state.registry.is_replaced(&replica);
+    let lost = state.quarantine.lost_answers.take(&replica.incarnation);
+    if !has_crashed {
+        return;
+    }
+    state.status.metrics.replicas_ended.inc();
+    log_event!(
+        gateway::REPLICA_ENDED,
+        "replica={} digest={:016x} address={} open={} fingerprints={:?}",
+        replica.id(),
+        replica.incarnation_hash,
+        replica.pool.peer(),
+        lost.len(),
+        logged_fingerprints(&lost)
+    );
+    let directory = state.peers.directory();
+    for LostAnswer { fingerprint, ran } in lost {
+        // If the next incarnation is already there, the request may have run at either and only have broken
+        // off at that one; with the start time, the strike would count against the incarnation that is alive.
+        let began_at = is_refused.then(|| ended_at.saturating_sub(ran));
+        let strike = Strike {
+            replica: replica.incarnation_hash,
+            at: ended_at,
+            is_coincident: false,
+            began_at,
+        };
+        let role = role(&directory, fingerprint, state.peers.own());
+        state.quarantine.strike(fingerprint, strike, role);
+    }
+}
+
+/// The fingerprints to name in a log line.
+fn logged_fingerprints(lost: &[LostAnswer]) -> Vec<Fingerprint> {
+    let named = lost.iter().take(MAX_LOGGED);
+    named.map(|lost_answer| lost_answer.fingerprint).collect()
+}
--- a/crates/gateway/src/quarantine/shared.rs
+++ b/crates/gateway/src/quarantine/shared.rs
@@ -1,4 +1,4 @@
-//! The records of this daemon, and what it has to tell others and the store.
+//! The records of this gateway, and what it has to announce to other gateways and to the store.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,74 +10,75 @@
 use tokio::sync::Notify;
 
 use super::Fingerprint;
-use super::ends::Losses;
-use super::ledger::{Cleared, Ledger, News, Role, Verdict};
+use super::ledger::{Cleared, Ledger, RecordUpdate, Role, Verdict};
+use super::lost_answers::LostAnswers;
 use super::record::{Record, Stored, Strike};
 use crate::store::StorePosition;
 
-/// How often news are told: a datagram may be lost, and those that are told twice know it already.
-const TELLINGS: u8 = 3;
+/// How often an update is announced: a datagram may be lost, and receivers ignore what they know already.
+const ANNOUNCEMENTS: u8 = 3;
 
-/// The time between two tellings of the same news; three of them end well before others must know (`contact_seconds`).
-pub const BETWEEN_TELLINGS: Duration = Duration::from_millis(350);
+/// The time between two announcements of an update; three of them end well before others must know it
+/// (`contact_seconds`).
+pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(350);
 
-/// Where the clock of the records begins, so that moments before the start of this daemon have a place on it, which others
-/// tell it of. Longer than anything is remembered.
-const CLOCK_BEGIN: Duration = Duration::from_secs(30 * 24 * 3600);
+/// The reading of the records' clock when this gateway starts, so that times before the start, which other
+/// gateways report, can be represented. It is longer than anything is remembered.
+const CLOCK_ORIGIN: Duration = Duration::from_secs(30 * 24 * 3600);
 
-/// An object of the store that is to be removed.
+/// A stored object that is to be removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Removal {
-    /// The request.
+    /// The request whose record the object keeps.
     pub fingerprint: Fingerprint,
-    /// Where its object was last changed.
+    /// Where the object was last changed.
     pub position: StorePosition,
 }
 
-/// What is to be told to other daemons.
+/// What to send to other gateways.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Strikes, for the daemons that count for their requests.
+    /// Strikes, for the home gateways of their requests.
     pub strikes: Vec<(Fingerprint, Strike)>,
-    /// Requests that ended well, for the same daemons.
+    /// Requests that were cleared, for their home gateways.
     pub cleared: Vec<Fingerprint>,
-    /// Requests whose records all are to know.
-    pub news: Vec<Fingerprint>,
+    /// Requests whose records all gateways have to know.
+    pub updates: Vec<Fingerprint>,
 }
 
-/// News that are told more than once.
+/// An update that is announced repeatedly.
 #[derive(Debug, Clone, Copy)]
-struct Telling {
+struct Announcement {
     left: u8,
     next_at: Duration,
 }
 
-/// The records of this daemon.
+/// The records of this gateway.
 #[derive(Debug)]
 pub struct Quarantine {
     began: Instant,
-    /// Answers that broke off, until it is known whether their replica has ended.
-    pub(super) losses: Losses,
+    /// Lost answers, until it is known whether their replica has crashed.
+    pub(super) lost_answers: LostAnswers,
     ledger: RefCell<Ledger>,
     outbox: RefCell<Outbox>,
-    tellings: RefCell<HashMap<Fingerprint, Telling>>,
+    announcements: RefCell<HashMap<Fingerprint, Announcement>>,
     removals: RefCell<Vec<Removal>>,
-    /// Wakes the task that tells others.
-    pub told: Notify,
+    /// Wakes the task that announces updates to other gateways.
+    pub announce_wakeup: Notify,
     /// Wakes the task that keeps records in the store.
-    pub kept: Notify,
+    pub store_wakeup: Notify,
 }
 
-/// Who told of something, for the logs.
+/// The source of a record or strike, for the logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Teller {
-    /// This daemon saw it.
+pub enum RecordSource {
+    /// This gateway observed it.
     Own,
-    /// Another daemon.
+    /// Another gateway.
     Peer,
     /// The store.
     Store,
-    /// The list of replicas: it named the life that an end is of, which was told before.
+    /// The list of replicas, which named the incarnation of a strike reported earlier.
     Replicas,
 }
 
@@ -85,120 +86,121 @@
     fn default() -> Self {
         Self {
             began: Instant::now(),
-            losses: Losses::default(),
+            lost_answers: LostAnswers::default(),
             ledger: RefCell::default(),
             outbox: RefCell::default(),
-            tellings: RefCell::default(),
+            announcements: RefCell::default(),
             removals: RefCell::default(),
-            told: Notify::new(),
-            kept: Notify::new(),
+            announce_wakeup: Notify::new(),
+            store_wakeup: Notify::new(),
         }
     }
 }
 
 impl Quarantine {
-    /// The moment, on the clock of the records.
+    /// The current time on the clock of the records.
     pub fn now(&self) -> Duration {
-        CLOCK_BEGIN + self.began.elapsed()
+        CLOCK_ORIGIN + self.began.elapsed()
     }
 
-    /// Takes in that a replica ended at `at` while a request of this daemon was open there.
+    /// Records that a replica crashed while a request of this gateway was open there, and announces it.
     pub fn strike(&self, fingerprint: Fingerprint, strike: Strike, role: Role) {
         self.outbox.borrow_mut().strikes.push((fingerprint, strike));
-        self.told.notify_one();
-        self.take_strike(fingerprint, strike, role, Teller::Own);
+        self.announce_wakeup.notify_one();
+        self.record_strike(fingerprint, strike, role, RecordSource::Own);
     }
 
-    /// Takes in a strike.
-    pub fn take_strike(
+    /// Records a strike.
+    pub fn record_strike(
         &self,
         fingerprint: Fingerprint,
         strike: Strike,
         role: Role,
-        teller: Teller,
+        source: RecordSource,
     ) {
         let mut ledger = self.ledger.borrow_mut();
-        let news = ledger.strike(fingerprint, strike, role, self.now());
+        let update = ledger.strike(fingerprint, strike, role, self.now());
         let count = ledger.get(fingerprint).map_or(0.0, Record::count);
         drop(ledger);
         log_event!(
             gateway::REQUEST_STRUCK,
-            "fingerprint={fingerprint} replica_digest={:016x} count={count} told_by={teller:?}",
+            "fingerprint={fingerprint} replica_digest={:016x} count={count} told_by={source:?}",
             strike.replica
         );
-        self.spread(fingerprint, news, teller);
+        self.handle_update(fingerprint, update, source);
     }
 
-    /// Takes in that a replica has started again under its id: the life `after` follows `before`, both by their digests.
-    pub fn note_next_life(&self, before: u64, after: u64) {
+    /// Records that a replica has restarted under its id: incarnation `after` follows `before`, both given by
+    /// their digests.
+    pub fn note_next_incarnation(&self, before: u64, after: u64) {
         let mut ledger = self.ledger.borrow_mut();
-        let struck = ledger.note_next_life(before, after, self.now());
+        let updates = ledger.note_next_incarnation(before, after, self.now());
         drop(ledger);
-        self.take_named(struck, after);
+        self.log_attributed(updates, after);
     }
 
-    /// Takes in that the entry of a replica is gone; its life by its digest.
-    pub fn note_gone_life(&self, life: u64) {
+    /// Records that the entry of a replica's incarnation, given by its digest, is gone.
+    pub fn note_removed_incarnation(&self, incarnation: u64) {
         let mut ledger = self.ledger.borrow_mut();
-        let struck = ledger.note_gone_life(life, self.now());
+        let updates = ledger.note_removed_incarnation(incarnation, self.now());
         drop(ledger);
-        self.take_named(struck, life);
+        self.log_attributed(updates, incarnation);
     }
 
-    /// Takes in strikes that waited until it was known which life they are of.
-    fn take_named(&self, struck: Vec<(Fingerprint, News)>, life: u64) {
-        for (fingerprint, news) in struck {
+    /// Logs and announces strikes that waited until their incarnation was known.
+    fn log_attributed(&self, updates: Vec<(Fingerprint, RecordUpdate)>, incarnation: u64) {
+        for (fingerprint, update) in updates {
             log_event!(
                 gateway::REQUEST_STRUCK,
-                "fingerprint={fingerprint} replica_digest={life:016x} count={} told_by={:?}",
+                "fingerprint={fingerprint} replica_digest={incarnation:016x} count={} told_by={:?}",
                 self.read(|ledger| ledger.get(fingerprint).map_or(0.0, Record::count)),
-                Teller::Replicas
+                RecordSource::Replicas
             );
-            self.spread(fingerprint, news, Teller::Replicas);
+            self.handle_update(fingerprint, update, RecordSource::Replicas);
         }
     }
 
-    /// Takes in a record that another daemon or the store told; true where it was news.
-    pub fn take_record(
+    /// Merges a record from another gateway or the store; returns whether that changed something.
+    pub fn merge_record(
         &self,
         fingerprint: Fingerprint,
         record: Record,
         role: Role,
-        teller: Teller,
+        source: RecordSource,
     ) -> bool {
         let was_quarantined = self.is_quarantined(fingerprint);
         let mut ledger = self.ledger.borrow_mut();
-        let news = ledger.merge(fingerprint, record, role, self.now());
+        let update = ledger.merge(fingerprint, record, role, self.now());
         drop(ledger);
         let is_quarantined = self.is_quarantined(fingerprint);
-        match news {
-            News::Quarantined => self.spread(fingerprint, news, teller),
-            News::Changed if is_quarantined && !was_quarantined => {
-                self.log_quarantined(fingerprint, teller);
+        match update {
+            RecordUpdate::Quarantined => self.handle_update(fingerprint, update, source),
+            RecordUpdate::Shared if is_quarantined && !was_quarantined => {
+                self.log_quarantined(fingerprint, source);
             }
-            News::Changed if was_quarantined && !is_quarantined => {
+            RecordUpdate::Shared if was_quarantined && !is_quarantined => {
                 log_event!(
                     gateway::REQUEST_CLEARED,
-                    "fingerprint={fingerprint} told_by={teller:?}"
+                    "fingerprint={fingerprint} told_by={source:?}"
                 );
             }
-            News::Changed | News::Nothing => {}
+            RecordUpdate::Shared | RecordUpdate::NotShared => {}
         }
-        self.kept.notify_one();
-        news != News::Nothing
+        self.store_wakeup.notify_one();
+        update != RecordUpdate::NotShared
     }
 
-    /// Takes in that an answer to a request came whole: its replica has survived it.
-    pub fn clear(&self, fingerprint: Fingerprint, teller: Teller) {
+    /// Records that an answer to a request completed: its replica has survived it.
+    pub fn clear(&self, fingerprint: Fingerprint, source: RecordSource) {
         let cleared = self.ledger.borrow_mut().clear(fingerprint, self.now());
-        let Some(cleared) = self.tell_cleared(fingerprint, cleared) else {
+        let Some(cleared) = self.announce_if_shared(fingerprint, cleared) else {
             return;
         };
         log_event!(
             gateway::REQUEST_CLEARED,
-            "fingerprint={fingerprint} count={} good_ends={} was_quarantined={} told_by={teller:?}",
+            "fingerprint={fingerprint} count={} good_ends={} was_quarantined={} told_by={source:?}",
             cleared.before.count(),
-            cleared.before.good_ends,
+            cleared.before.completions,
             cleared.before.is_quarantined
         );
         if let Some(position) = cleared.before.stored.position {
@@ -207,16 +209,16 @@
                 position,
             });
         }
-        if !cleared.is_for_all && teller == Teller::Own {
+        if !cleared.is_shared && source == RecordSource::Own {
             self.outbox.borrow_mut().cleared.push(fingerprint);
-            self.told.notify_one();
+            self.announce_wakeup.notify_one();
         }
     }
 
-    /// Takes in that an operator took a request out of the store.
+    /// Records that an operator removed a request from the store.
     pub fn release(&self, fingerprint: Fingerprint) {
         let released = self.ledger.borrow_mut().release(fingerprint, self.now());
-        if let Some(cleared) = self.tell_cleared(fingerprint, released) {
+        if let Some(cleared) = self.announce_if_shared(fingerprint, released) {
             log_event!(
                 gateway::REQUEST_RELEASED,
                 "fingerprint={fingerprint} count={} was_quarantined={}",
@@ -226,46 +228,49 @@
         }
     }
 
-    /// Takes in the whole list of the store's records, read at `position`: those are released that it kept before, in the
-    /// same era, and that are not in it any more. Those that it kept in an earlier one may be lost.
-    pub fn take_list(&self, listed: &[Fingerprint], position: StorePosition) {
+    /// Compares with the complete list of stored records, read at `position`: records that the store kept
+    /// before in the same era, and that are missing in the list, were released. Those that it kept in an
+    /// earlier era may have been lost.
+    pub fn release_missing(&self, listed: &[Fingerprint], position: StorePosition) {
         let ledger = self.ledger.borrow();
         let is_in_list = |stored: StorePosition| stored.era == position.era && stored <= position;
         let stored = ledger
-            .known_to_all()
+            .shared_records()
             .filter(|(_, record)| record.stored.position.is_some_and(is_in_list));
-        let gone = stored.map(|(fingerprint, _)| fingerprint);
-        let gone: Vec<Fingerprint> = gone.filter(|gone| !listed.contains(gone)).collect();
+        let missing = stored.map(|(fingerprint, _)| fingerprint);
+        let missing: Vec<Fingerprint> = missing
+            .filter(|missing| !listed.contains(missing))
+            .collect();
         drop(ledger);
-        for fingerprint in gone {
+        for fingerprint in missing {
             self.release(fingerprint);
         }
     }
 
-    /// Takes in that the request is tried in quarantine.
+    /// Records that the quarantined request is tried after a long time.
     pub fn begin_trial(&self, fingerprint: Fingerprint) {
         self.ledger.borrow_mut().begin_trial(fingerprint);
         log_event!(
             gateway::REQUEST_TRIED,
             "fingerprint={fingerprint} why=long_in_quarantine"
         );
-        self.tell_all(fingerprint);
+        self.announce(fingerprint);
     }
 
-    /// Takes in that the request is tried apart from those that were open at the same ends.
-    pub fn begin_apart(&self, fingerprint: Fingerprint) {
+    /// Records that the request is tried in isolation from those that were open at the same crashes.
+    pub fn begin_isolated_trial(&self, fingerprint: Fingerprint) {
         self.ledger
             .borrow_mut()
-            .begin_apart(fingerprint, self.now());
+            .begin_isolated_trial(fingerprint, self.now());
         log_event!(
             gateway::REQUEST_TRIED,
             "fingerprint={fingerprint} why=others_have_the_same_ends rivals={}",
             self.ledger.borrow().rivals(fingerprint).len()
         );
-        self.tell_all(fingerprint);
+        self.announce(fingerprint);
     }
 
-    /// What is to be done with a request. `fingerprint` is asked for only where there are suspects.
+    /// Decides how to treat a request. `fingerprint` is only computed if there are suspects.
     pub fn verdict(&self, fingerprint: impl FnOnce() -> Fingerprint) -> Verdict {
         let ledger = self.ledger.borrow();
         match ledger.has_suspects() {
@@ -274,39 +279,39 @@
         }
     }
 
-    /// Whether an answer that came whole may clear a request.
+    /// Whether a completed answer may clear a request.
     pub fn may_clear(&self) -> bool {
         self.ledger.borrow().may_clear(self.now())
     }
 
-    /// Reads the records.
+    /// Calls `read` with the records.
     pub fn read<R>(&self, read: impl FnOnce(&Ledger) -> R) -> R {
         read(&self.ledger.borrow())
     }
 
-    /// Takes in how the store keeps a record, and tells all daemons.
+    /// Records how the store keeps a record, and announces it to all gateways.
     pub fn note_stored(&self, fingerprint: Fingerprint, stored: Stored) {
         self.ledger.borrow_mut().note_stored(fingerprint, stored);
-        self.tell_all(fingerprint);
+        self.announce(fingerprint);
     }
 
-    /// Wants an object of the store removed.
+    /// Schedules the removal of a stored object.
     pub fn remove(&self, removal: Removal) {
         self.removals.borrow_mut().push(removal);
-        self.kept.notify_one();
+        self.store_wakeup.notify_one();
     }
 
-    /// Wants it removed with the next try, not at once.
-    pub fn put_back(&self, removal: Removal) {
+    /// Schedules another attempt to remove an object, without waking the task.
+    pub fn retry_removal(&self, removal: Removal) {
         self.removals.borrow_mut().push(removal);
     }
 
-    /// The objects to be removed from the store; what fails is to be put back.
+    /// Takes the objects to remove from the store; failed removals go to [`Self::retry_removal`].
     pub fn take_removals(&self) -> Vec<Removal> {
         self.removals.take()
     }
 
-    /// Forgets what is too old to count; what of it the store keeps.
+    /// Forgets records that are too old to count; returns the removals for those that the store keeps.
     pub fn forget_old(&self) -> Vec<Removal> {
         let kept_in_store = self.ledger.borrow_mut().forget_old(self.now());
         let removals = kept_in_store.into_iter();
@@ -317,25 +322,25 @@
         removals.collect()
     }
 
-    /// What is to be told now.
+    /// Takes what is to be sent now.
     pub fn take_outbox(&self) -> Outbox {
         let now = self.now();
         let mut outbox = self.outbox.take();
-        let mut tellings = self.tellings.borrow_mut();
-        for (fingerprint, telling) in tellings.iter_mut() {
-            if telling.next_at <= now {
-                outbox.news.push(*fingerprint);
-                telling.left -= 1;
-                telling.next_at = now + BETWEEN_TELLINGS;
+        let mut announcements = self.announcements.borrow_mut();
+        for (fingerprint, announcement) in announcements.iter_mut() {
+            if announcement.next_at <= now {
+                outbox.updates.push(*fingerprint);
+                announcement.left -= 1;
+                announcement.next_at = now + ANNOUNCE_INTERVAL;
             }
         }
-        tellings.retain(|_, telling| telling.left > 0);
+        announcements.retain(|_, announcement| announcement.left > 0);
         outbox
     }
 
-    /// Whether news are to be told once more.
-    pub fn has_news(&self) -> bool {
-        !self.tellings.borrow().is_empty()
+    /// Whether updates remain to be announced again.
+    pub fn has_announcements(&self) -> bool {
+        !self.announcements.borrow().is_empty()
     }
 
     fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
@@ -344,34 +349,40 @@
         record.is_some_and(|record| record.is_quarantined)
     }
 
-    fn tell_cleared(&self, fingerprint: Fingerprint, cleared: Option<Cleared>) -> Option<Cleared> {
+    fn announce_if_shared(
+        &self,
+        fingerprint: Fingerprint,
+        cleared: Option<Cleared>,
+    ) -> Option<Cleared> {
         let cleared = cleared?;
-        if cleared.is_for_all {
-            self.tell_all(fingerprint);
+        if cleared.is_shared {
+            self.announce(fingerprint);
         }
         Some(cleared)
     }
 
-    fn spread(&self, fingerprint: Fingerprint, news: News, teller: Teller) {
-        if news == News::Quarantined {
-            self.log_quarantined(fingerprint, teller);
+    fn handle_update(&self, fingerprint: Fingerprint, update: RecordUpdate, source: RecordSource) {
+        if update == RecordUpdate::Quarantined {
+            self.log_quarantined(fingerprint, source);
         }
-        if news != News::Nothing {
-            self.tell_all(fingerprint);
+        if update != RecordUpdate::NotShared {
+            self.announce(fingerprint);
         }
     }
 
-    fn tell_all(&self, fingerprint: Fingerprint) {
-        let telling = Telling {
-            left: TELLINGS,
+    fn announce(&self, fingerprint: Fingerprint) {
+        let announcement = Announcement {
+            left: ANNOUNCEMENTS,
             next_at: Duration::ZERO,
         };
-        self.tellings.borrow_mut().insert(fingerprint, telling);
-        self.told.notify_one();
-        self.kept.notify_one();
+        self.announcements
+            .borrow_mut()
+            .insert(fingerprint, announcement);
+        self.announce_wakeup.notify_one();
+        self.store_wakeup.notify_one();
     }
 
-    fn log_quarantined(&self, fingerprint: Fingerprint, teller: Teller) {
+    fn log_quarantined(&self, fingerprint: Fingerprint, source: RecordSource) {
         let ledger = self.ledger.borrow();
         let Some(record) = ledger.get(fingerprint) else {
             return;
@@ -382,10 +393,10 @@
             .collect();
         log_event!(
             gateway::REQUEST_QUARANTINED,
-            "fingerprint={fingerprint} count={} replica_digests={replicas:?} generation={} good_ends={} rivals={} told_by={teller:?}",
+            "fingerprint={fingerprint} count={} replica_digests={replicas:?} generation={} good_ends={} rivals={} told_by={source:?}",
             record.count(),
             record.generation,
-            record.good_ends,
+            record.completions,
             ledger.rivals(fingerprint).len()
         );
     }
--- a/crates/gateway/src/rollout/lease.rs
+++ b/crates/gateway/src/rollout/lease.rs
@@ -1,22 +1,22 @@
-//! The lease under which one daemon gives orders to replicas.
+//! Lease under which one gateway gives orders to replicas.
 //!
-//! Unlike the lease of the daemon's other tasks it is taken only while there is something to order: an
-//! idle one costs no call. It is an object in the store, changed on condition of its revision. A holder
-//! may give orders until [`LeaseTimes::term`] after it *began* the write that gave it the lease. Another
-//! daemon may take it once it has seen the object unchanged for the term and a further
-//! [`LeaseTimes::distance`], so that orders of two holders lie at least the distance apart, whatever
-//! became of messages. Tokens rise with each acquisition, so none is used twice (see [`super::token`]).
+//! Unlike the lease of the gateway's other tasks it is acquired only while there is something to order, so an idle
+//! lease costs no calls. The lease is an object in the store that is written on condition of its revision. A holder may
+//! give orders until [`LeaseTimes::term`] after the *start* of the write that gave it the lease. Another gateway may
+//! take the lease once it has seen the object unchanged for the term plus [`LeaseTimes::handover_gap`], so that orders
+//! of two holders are at least the gap apart, even if messages are lost or delayed. The token rises with each
+//! acquisition, so none is used twice (see [`super::token`]).
 //!
-//! A process that was started again takes up the lease of the process before it, under the next token and
-//! without a wait: a machine runs one gateway at a time, so the earlier one has ended and gives no more orders.
+//! A restarted process takes over the lease of its predecessor at once, under the next token: a machine runs one
+//! gateway at a time, so the predecessor has ended and gives no more orders.
 //!
-//! A store that comes back from a copy, in a new era, may have lost the last holder's record. So a record that was not
-//! written in the era in which it is read proves nothing of who holds the lease: whatever holder it names, also none, and also
-//! where there is none, every daemon waits for the term and the distance. Only the last holder may go on, or take it again,
-//! at once: up to the term and the distance after its last write nobody else can have the lease; it writes it anew under a
-//! token of the new era.
+//! A store that comes back from a copy, in a new era, may have lost the record of the last holder. A record that was
+//! not written in the era in which it is read therefore does not prove who holds the lease. If the record is of another
+//! era or missing, every gateway waits for the term plus the gap, whatever holder the record names. Only the last
+//! holder may continue, or acquire the lease again, at once: until the term plus the gap after its last write no other
+//! gateway can have the lease. It writes the lease again under a token of the new era.
 //!
-//! Times are of one steady clock, as durations since any fixed moment.
+//! All times are durations since the same arbitrary moment, measured by one monotonic clock.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -25,101 +25,103 @@
 use crate::protocol::{LeaseRecord, ObjectContent, StoredObject, WriteAnswer};
 use crate::store::{StoreEra, StorePosition};
 
-/// The times of the lease; all daemons must have the same.
+/// Times of the lease; they must be the same on all gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseTimes {
-    /// How long a holder may give orders after it began its last successful write.
+    /// How long a holder may give orders after the start of its last successful write.
     pub term: Duration,
-    /// How far orders of two holders must lie apart.
-    pub distance: Duration,
-    /// How long after a successful write the next renewal begins.
-    pub renewal: Duration,
-    /// How long the last holder is waited for, although others could take the lease.
-    pub deference: Duration,
+    /// Minimum time between orders of two holders.
+    pub handover_gap: Duration,
+    /// Time from the start of a successful write to the next renewal.
+    pub renewal_interval: Duration,
+    /// How long other gateways give the last holder the chance to take the lease again, although they could take it.
+    pub takeover_delay: Duration,
 }
 
-/// What a daemon that wants to give orders does next.
+/// Next step of a gateway that wants to give orders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// It may give orders under this token.
+    /// Give orders under this token.
     Hold(u64),
-    /// Write this record on condition of this position, then [`OrderLease::on_write`].
+    /// Write this record on condition of this position, then call [`OrderLease::on_write`].
     Write {
-        /// The record.
+        /// Record to write.
         record: LeaseRecord,
-        /// The position that the object must have; none where it must not exist.
+        /// Position that the object must have; `None` if it must not exist.
         expected: Option<StorePosition>,
     },
-    /// Nothing for so long.
+    /// Wait for this long.
     Wait(Duration),
 }
 
-/// The object as last seen.
+/// The lease object as last seen in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Seen {
+struct SeenRecord {
     position: StorePosition,
     record: LeaseRecord,
-    first_seen: Duration,
+    first_seen_at: Duration,
 }
 
-impl Seen {
-    /// Whether it was written in the era in which it is read: one that was not may come from the copy, or may be a write of
-    /// an earlier era that took effect late, whose condition meant another change.
-    fn is_of_its_era(&self) -> bool {
+impl SeenRecord {
+    /// Whether the record was written in the era in which it was read. Otherwise it may come from the copy, or be a
+    /// late write of an earlier era whose condition referred to a different change.
+    fn is_from_read_era(&self) -> bool {
         self.record.era == self.position.era
     }
 }
 
-/// The lease as this daemon holds or held it; nothing where another one may have it.
+/// The lease as this gateway holds or last held it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Held {
+struct HeldLease {
     token: u64,
-    /// Until when it may give orders.
-    until: Duration,
-    /// Until when nobody else can have taken the lease in the same era: everybody waits for the distance too.
-    alone_until: Duration,
+    /// Time until which this gateway may give orders.
+    valid_until: Duration,
+    /// Time until which no other gateway can have taken the lease in the same era, since others also wait for the
+    /// handover gap.
+    exclusive_until: Duration,
 }
 
-/// What a daemon knows of the lease.
+/// State of the lease as known to one gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct OrderLease {
     machine: String,
-    life: u64,
+    incarnation: u64,
     times: LeaseTimes,
     is_first_start: bool,
-    /// The latest era of the store that is known here.
+    /// Latest known era of the store.
     era: StoreEra,
-    /// The object, where this era is known to have one.
-    seen: Option<Seen>,
-    /// Whether this era is known to have the object, or not to have it.
-    is_informed: bool,
-    /// From when on nobody else holds the lease where the store has no object.
-    missing_free_at: Duration,
-    held: Option<Held>,
-    /// The highest token that is known, of all eras.
+    /// The lease object, if it is known to exist in this era.
+    seen: Option<SeenRecord>,
+    /// Whether it is known if the object exists in this era.
+    is_presence_known: bool,
+    /// Time from which a missing object means that no gateway holds the lease.
+    free_if_missing_at: Duration,
+    held: Option<HeldLease>,
+    /// Highest known token of all eras.
     highest_token: u64,
     renew_at: Duration,
     wanted_since: Option<Duration>,
     retry_at: Duration,
-    /// Refusals in a row by replicas that had seen a higher token.
+    /// Number of consecutive refusals by replicas that had seen a higher token.
     refusals: u32,
     is_fenced: bool,
-    failures_in_row: u32,
-    reached: VecDeque<(Duration, StorePosition)>,
+    consecutive_failures: u32,
+    reached_positions: VecDeque<(Duration, StorePosition)>,
 }
 
 impl OrderLease {
-    /// What a process on `machine` knows that knows nothing of the lease yet; `life` tells it from others there.
-    pub fn new(machine: &str, life: u64, times: LeaseTimes) -> Self {
+    /// Creates the state of a process on `machine` that knows nothing of the lease yet; `incarnation` identifies the
+    /// process among those of the machine.
+    pub fn new(machine: &str, incarnation: u64, times: LeaseTimes) -> Self {
         Self {
             machine: machine.to_owned(),
-            life,
+            incarnation,
             times,
             is_first_start: false,
             era: StoreEra::UNNAMED,
             seen: None,
-            is_informed: false,
-            missing_free_at: Duration::ZERO,
+            is_presence_known: false,
+            free_if_missing_at: Duration::ZERO,
             held: None,
             highest_token: 0,
             renew_at: Duration::ZERO,
@@ -127,95 +129,95 @@
             retry_at: Duration::ZERO,
             refusals: 0,
             is_fenced: false,
-            failures_in_row: 0,
-            reached: VecDeque::new(),
+            consecutive_failures: 0,
+            reached_positions: VecDeque::new(),
         }
     }
 
-    /// The same where the whole system starts for the first time: nobody has held the lease before the first era that this
-    /// process gets to know.
+    /// Sets whether the whole system starts for the first time. In this case no gateway has held the lease before the
+    /// first era that this process learns of.
     pub fn at_first_start(mut self, is_first_start: bool) -> Self {
         self.is_first_start = is_first_start;
         self
     }
 
-    /// Takes in that the object, or its absence, was read from the store in the latest era that is known here.
+    /// Records that the object, or its absence, was read from the store in the latest known era.
     pub fn on_list(&mut self, now: Duration, object: Option<(StorePosition, LeaseRecord)>) {
-        self.is_informed = true;
+        self.is_presence_known = true;
         if let Some((position, record)) = object {
             self.on_seen(now, position, record);
         }
     }
 
-    /// Takes in that the store had reached `position` by `now`: whatever has it or an earlier one was written
-    /// before, even if it is seen later.
+    /// Records that the store had reached `position` by `now`: objects with this position or an earlier one were
+    /// written before `now`, even if they are seen later.
     pub fn on_store_position(&mut self, now: Duration, position: StorePosition) {
-        self.enter(now, position.era);
-        let is_news = self
-            .reached
+        self.enter_era(now, position.era);
+        let is_new = self
+            .reached_positions
             .back()
             .is_none_or(|(_, known)| *known < position);
-        if is_news {
-            self.reached.push_back((now, position));
+        if is_new {
+            self.reached_positions.push_back((now, position));
         }
-        while self.reached.len() > REMEMBERED_POSITIONS {
-            self.reached.pop_front();
+        while self.reached_positions.len() > MAX_REACHED_POSITIONS {
+            self.reached_positions.pop_front();
         }
     }
 
-    /// The earliest time by which the store is known to have reached `position`.
+    /// Earliest time by which the store is known to have reached `position`.
     fn reached_at(&self, position: StorePosition) -> Option<Duration> {
-        let mut reached = self.reached.iter();
-        let first = reached.find(|(_, known)| *known >= position)?;
+        let mut reached_positions = self.reached_positions.iter();
+        let first = reached_positions.find(|(_, known)| *known >= position)?;
         Some(first.0)
     }
 
-    /// Takes in an era of the store. In a later one than was known nothing that was seen counts any more; the lease that is
-    /// held lasts until its term ends, and is written anew at once.
-    fn enter(&mut self, now: Duration, era: StoreEra) {
+    /// Handles an era named by the store. A later era than the known one invalidates the record that was seen; a held
+    /// lease stays valid until its term ends, and is written again at once.
+    fn enter_era(&mut self, now: Duration, era: StoreEra) {
         if era <= self.era {
             return;
         }
         let is_first = self.era == StoreEra::UNNAMED;
         self.era = era;
         self.seen = None;
-        self.is_informed = false;
+        self.is_presence_known = false;
         if !(is_first && self.is_first_start) {
-            self.missing_free_at = now + self.times.term + self.times.distance;
+            self.free_if_missing_at = now + self.times.term + self.times.handover_gap;
         }
         self.renew_at = now;
     }
 
-    /// Takes in a token that was given out, or that another daemon knows.
+    /// Records a token that was given out or that another gateway knows.
     pub fn on_token(&mut self, token: u64) {
         self.highest_token = self.highest_token.max(token.min(MAX_TOKEN));
     }
 
-    /// The highest token that is known; 0 for none.
+    /// Highest known token; 0 if none is known.
     pub fn highest_token(&self) -> u64 {
         self.highest_token
     }
 
-    /// Takes in the object as seen; earlier positions are ignored, but for their tokens.
+    /// Records the object as seen in the store. Of an object with an earlier position only the token is used.
     pub fn on_seen(&mut self, now: Duration, position: StorePosition, record: LeaseRecord) {
         self.on_token(record.token);
-        self.enter(now, position.era);
+        self.enter_era(now, position.era);
         let seen = self.seen.as_ref();
-        let is_known = seen.is_some_and(|seen| seen.position >= position);
-        if is_known || position.era < self.era {
+        let is_stale = seen.is_some_and(|seen| seen.position >= position);
+        if is_stale || position.era < self.era {
             return;
         }
         let reached_at = self.reached_at(position);
-        let seen = Seen {
+        let seen = SeenRecord {
             position,
             record,
-            first_seen: reached_at.map_or(now, |reached_at| reached_at.min(now)),
+            first_seen_at: reached_at.map_or(now, |reached_at| reached_at.min(now)),
         };
-        if self.is_taken(&seen) {
+        if self.shows_other_holder(&seen) {
             self.held = None;
         }
         self.seen = Some(seen);
-        self.is_informed = true;
+        self.is_presence_known = true;
     }
 
     /// The object as last seen, with its position.
@@ -224,33 +226,34 @@
         Some((seen.position, &seen.record))
     }
 
-    /// The token under which an order may be given at `now`.
+    /// Token under which orders may be given at `now`; `None` if this gateway may not give any.
     pub fn token_at(&self, now: Duration) -> Option<u64> {
-        let held = self.held.filter(|held| now < held.until)?;
+        let held = self.held.filter(|held| now < held.valid_until)?;
         Some(held.token)
     }
 
-    /// A replica has seen a higher token: this one may not be used again.
+    /// Handles the refusal of an order by a replica that has seen a higher token: the current token must not be used
+    /// again.
     pub fn on_fenced(&mut self) {
         self.is_fenced = true;
         self.refusals += 1;
         self.held = None;
     }
 
-    /// There is nothing to order any more.
-    pub fn rest(&mut self) {
+    /// Records that there is nothing to order any more.
+    pub fn on_idle(&mut self) {
         self.wanted_since = None;
         self.refusals = 0;
     }
 
-    /// The record that gives the lease back, with the position that the object must have; nothing where this
-    /// daemon does not hold it. It must give no order from now on.
-    pub fn give_back(&mut self) -> Option<(LeaseRecord, StorePosition)> {
+    /// Releases the lease. Returns the record that makes it free, and the position that the object must have; `None` if
+    /// this gateway does not hold the lease. The gateway must give no more orders.
+    pub fn release(&mut self) -> Option<(LeaseRecord, StorePosition)> {
         self.held = None;
         let seen = self
             .seen
             .as_ref()
-            .filter(|seen| seen.is_of_its_era() && self.is_own(&seen.record))?;
+            .filter(|seen| seen.is_from_read_era() && self.is_own_record(&seen.record))?;
         let record = LeaseRecord {
             holder: String::new(),
             life: 0,
@@ -261,13 +264,13 @@
         Some((record, seen.position))
     }
 
-    /// Forgets what lies before `now`: the lease that was held, waits.
-    pub fn forget_what_is_over(&mut self, now: Duration) {
-        self.held = self.held.filter(|held| now < held.alone_until);
+    /// Clears times that have passed: those of the held lease and of waits.
+    pub fn clear_past_times(&mut self, now: Duration) {
+        self.held = self.held.filter(|held| now < held.exclusive_until);
         for moment in [
             &mut self.renew_at,
             &mut self.retry_at,
-            &mut self.missing_free_at,
+            &mut self.free_if_missing_at,
         ] {
             if *moment <= now {
                 *moment = Duration::ZERO;
@@ -275,17 +278,17 @@
         }
     }
 
-    /// What to do at `now` in order to give orders; `jitter` sets daemons apart that begin together.
-    pub fn next(&mut self, now: Duration, jitter: Duration) -> LeaseAction {
-        self.forget_what_is_over(now);
+    /// Next step at `now` towards giving orders; `jitter` spreads the attempts of gateways that start at the same time.
+    pub fn next_action(&mut self, now: Duration, jitter: Duration) -> LeaseAction {
+        self.clear_past_times(now);
         let wanted_since = *self.wanted_since.get_or_insert(now);
         if let Some(token) = self.token_at(now)
             && now < self.renew_at
         {
             return LeaseAction::Hold(token);
         }
-        if !self.is_informed {
-            return LeaseAction::Wait(self.times.deference);
+        if !self.is_presence_known {
+            return LeaseAction::Wait(self.times.takeover_delay);
         }
         if now < self.retry_at {
             return LeaseAction::Wait(self.retry_at - now);
@@ -293,94 +296,97 @@
         let is_last_holder = self.held.is_some();
         let Some(seen) = &self.seen else {
             if is_last_holder {
-                return self.write(None, true);
+                return self.write_action(None, true);
             }
-            let polite_at = wanted_since + jitter;
-            return self.after_wait(polite_at.max(self.missing_free_at), now, None);
+            let takeover_at = wanted_since + jitter;
+            return self.write_after(takeover_at.max(self.free_if_missing_at), now, None);
         };
-        let is_of_its_era = seen.is_of_its_era();
-        if is_of_its_era && self.is_own(&seen.record) {
-            return self.write(Some(seen), self.is_fenced);
+        let is_from_read_era = seen.is_from_read_era();
+        if is_from_read_era && self.is_own_record(&seen.record) {
+            return self.write_action(Some(seen), self.is_fenced);
         }
-        if is_last_holder && !is_of_its_era || (is_of_its_era && seen.record.holder == self.machine)
+        if is_last_holder && !is_from_read_era
+            || (is_from_read_era && seen.record.holder == self.machine)
         {
-            return self.write(Some(seen), true);
+            return self.write_action(Some(seen), true);
         }
-        let is_free = is_of_its_era && seen.record.holder.is_empty();
-        let (term, deference) = match is_free {
+        let is_free = is_from_read_era && seen.record.holder.is_empty();
+        let (term, takeover_delay) = match is_free {
             true => (Duration::ZERO, Duration::ZERO),
-            false => (self.times.term, self.times.deference),
+            false => (self.times.term, self.times.takeover_delay),
         };
-        let free_at = seen.first_seen + term + self.times.distance;
-        let polite_at = wanted_since + deference + jitter;
-        self.after_wait(free_at.max(polite_at), now, Some(seen))
+        let free_at = seen.first_seen_at + term + self.times.handover_gap;
+        let takeover_at = wanted_since + takeover_delay + jitter;
+        self.write_after(free_at.max(takeover_at), now, Some(seen))
     }
 
-    /// Takes in what became of a write that began at `began` and ended at `ended`.
+    /// Handles the answer of a write that lasted from `started_at` to `ended_at`.
     pub fn on_write(
         &mut self,
         record: LeaseRecord,
-        began: Duration,
-        ended: Duration,
+        started_at: Duration,
+        ended_at: Duration,
         answer: WriteAnswer,
     ) {
         match answer {
-            // It took effect in another era than that of its condition: the object there may have been another holder's.
+            // The write took effect in an era other than that of its condition, so it may have replaced another
+            // holder's object.
             WriteAnswer::Accepted(position) if position.era != record.era => {
-                self.on_seen(ended, position, record);
-                self.retry_at = ended + RETRY_PAUSE;
+                self.on_seen(ended_at, position, record);
+                self.retry_at = ended_at + RETRY_BACKOFF;
             }
             WriteAnswer::Accepted(position) => {
                 self.on_token(record.token);
                 self.is_fenced = false;
-                self.failures_in_row = 0;
-                self.held = Some(Held {
+                self.consecutive_failures = 0;
+                self.held = Some(HeldLease {
                     token: record.token,
-                    until: began + self.times.term,
-                    alone_until: began + self.times.term + self.times.distance,
+                    valid_until: started_at + self.times.term,
+                    exclusive_until: started_at + self.times.term + self.times.handover_gap,
                 });
-                self.renew_at = began + self.times.renewal;
-                self.seen = Some(Seen {
+                self.renew_at = started_at + self.times.renewal_interval;
+                self.seen = Some(SeenRecord {
                     position,
                     record,
-                    first_seen: ended,
+                    first_seen_at: ended_at,
                 });
             }
             WriteAnswer::Conflict(Some(object)) => {
-                self.on_seen(ended, object.position, record_in(&object));
-                self.retry_at = ended + RETRY_PAUSE;
+                self.on_seen(ended_at, object.position, lease_record(&object));
+                self.retry_at = ended_at + RETRY_BACKOFF;
             }
             WriteAnswer::Conflict(None) | WriteAnswer::Busy | WriteAnswer::Unknown => {
                 if matches!(answer, WriteAnswer::Conflict(None)) && self.seen.take().is_some() {
-                    // It is gone, and so is what it said of a holder.
-                    self.missing_free_at = ended + self.times.term + self.times.distance;
+                    // The object has been removed, so its record no longer tells who holds the lease.
+                    self.free_if_missing_at = ended_at + self.times.term + self.times.handover_gap;
                 }
-                let pause = RETRY_PAUSE.saturating_mul(1 << self.failures_in_row.min(4));
-                self.failures_in_row += 1;
-                self.retry_at = ended + pause;
+                let backoff = RETRY_BACKOFF.saturating_mul(1 << self.consecutive_failures.min(4));
+                self.consecutive_failures += 1;
+                self.retry_at = ended_at + backoff;
             }
         }
     }
 
-    fn is_own(&self, record: &LeaseRecord) -> bool {
-        record.holder == self.machine && record.life == self.life
+    fn is_own_record(&self, record: &LeaseRecord) -> bool {
+        record.holder == self.machine && record.life == self.incarnation
     }
 
-    /// Whether an object as seen shows that another daemon holds the lease. A write of an earlier era that took effect late
-    /// does not: its writer does not count it. A daemon that knows nothing of eras does.
-    fn is_taken(&self, seen: &Seen) -> bool {
-        let is_late = !seen.is_of_its_era() && seen.record.era != StoreEra::UNNAMED;
-        !is_late && !self.is_own(&seen.record)
+    /// Whether the object shows that another gateway holds the lease. A late write of an earlier era does not, since
+    /// its writer does not count it as acquired. A record without an era does: it was written by a gateway that knows
+    /// nothing of eras.
+    fn shows_other_holder(&self, seen: &SeenRecord) -> bool {
+        let is_late = !seen.is_from_read_era() && seen.record.era != StoreEra::UNNAMED;
+        !is_late && !self.is_own_record(&seen.record)
     }
 
-    fn after_wait(&self, at: Duration, now: Duration, seen: Option<&Seen>) -> LeaseAction {
+    fn write_after(&self, at: Duration, now: Duration, seen: Option<&SeenRecord>) -> LeaseAction {
         match now < at {
             true => LeaseAction::Wait(at - now),
-            false => self.write(seen, true),
+            false => self.write_action(seen, true),
         }
     }
 
-    fn write(&self, seen: Option<&Seen>, raises_token: bool) -> LeaseAction {
+    fn write_action(&self, seen: Option<&SeenRecord>, raises_token: bool) -> LeaseAction {
         let (token, renewal) = match seen {
             Some(seen) if !raises_token => (seen.record.token, seen.record.renewal + 1),
             _ => {
@@ -391,7 +397,7 @@
         LeaseAction::Write {
             record: LeaseRecord {
                 holder: self.machine.clone(),
-                life: self.life,
+                life: self.incarnation,
                 token,
                 renewal,
                 era: self.era,
@@ -401,9 +407,9 @@
     }
 }
 
-/// The record in the lease's object. One that can't be read, or whose token is none, counts as held by another: nobody knows
-/// who wrote it.
-pub fn record_in(object: &StoredObject) -> LeaseRecord {
+/// Returns the record of the lease object. A lease that can't be read, or whose token is out of range, counts as held
+/// by another gateway, since its writer is unknown.
+pub fn lease_record(object: &StoredObject) -> LeaseRecord {
     match &object.content {
         Ok(ObjectContent::Lease(record)) if record.token < MAX_TOKEN => record.clone(),
         _ => LeaseRecord {
@@ -416,11 +422,11 @@
     }
 }
 
-/// Who holds a lease that can't be read; no machine has this name.
+/// Holder of a lease that can't be read; no machine has this name.
 const UNKNOWN_HOLDER: &str = "?";
 
-/// The pause after the first write that failed; each further one in a row twice as long, up to 16 times.
-const RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// Backoff after the first failed write; it doubles with each further failure in a row, up to 16 times.
+const RETRY_BACKOFF: Duration = Duration::from_millis(60);
 
-/// Positions of the store whose time is remembered.
-const REMEMBERED_POSITIONS: usize = 64;
+/// Maximum number of store positions whose times are kept.
+const MAX_REACHED_POSITIONS: usize = 64;
