--- a/crates/gateway/src/rollout/load.rs
+++ b/crates/gateway/src/rollout/load.rs
@@ -1,4 +1,5 @@
-//! Brings one replica to the wanted weights: orders until it has taken the order, and waits until it has loaded.
+//! Brings one replica to the wanted weights: repeats the order until the replica has accepted it, then waits until the
+//! weights are loaded.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,120 +8,123 @@
 use driftspring_telemetry::events::gateway;
 use driftspring_telemetry::log_event;
 
-use crate::peers::message::Loading;
+use crate::peers::message::LoadStatus;
 use crate::protocol::{
     LoadMethod, ModelVersion, OrderAnswer, ReplicaReport, UnreadableReason, WeightsOrder,
 };
 use crate::replicas::Replica;
 use crate::state::GatewayState;
-use crate::store::{Rejected, name_weights};
+use crate::store::{Rejected, record_wanted_weights};
 use crate::upstream::{self, CallError};
 
-/// How long an order's answer is waited for.
+/// Timeout of an order's answer.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a replica's description is waited for.
+/// Timeout of a replica's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The time between two descriptions of a replica that loads.
+/// Interval between two reports of a replica that is loading.
 const REPORT_INTERVAL: Duration = Duration::from_millis(120);
 
-/// How long a replica may load before it counts as failed.
-const LONGEST_LOAD: Duration = Duration::from_secs(6);
+/// Time after which a load counts as failed.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Orders without an answer after which a replica is left alone for a while.
-pub(super) const MAX_LOST_ORDERS: u32 = 12;
+/// Number of unanswered orders after which the gateway backs off from a replica.
+pub(super) const MAX_UNANSWERED_ORDERS: u32 = 12;
 
-/// The same where any other replica can be asked as well, so that two silent ones hold suspected weights up for 1.6 s and not
-/// for 9.6 s, which is longer than older weights may serve.
-pub(super) const MAX_LOST_TRIALS: u32 = 2;
+/// Like [`MAX_UNANSWERED_ORDERS`], for trials of suspected weights, which any other replica can take as well. Two
+/// replicas that do not answer delay a trial by 1.6 s instead of 9.6 s, which is longer than older weights may serve.
+pub(super) const MAX_UNANSWERED_TRIALS: u32 = 2;
 
-/// Orders after which a replica is left alone for a while, whatever it answers.
+/// Number of orders after which the gateway backs off from a replica, whatever it answers.
 const MAX_ORDERS: u32 = 12;
 
-/// A report that is not busy tells nothing before an order has had time to show.
+/// Time that an order takes to show in reports; until then a report that is not busy does not mean that the load has
+/// ended.
 const REPORT_LAG: Duration = Duration::from_millis(900);
 
-/// Why a replica has not got the weights.
+/// Why a replica did not load the weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LoadFailure {
-    /// It could not be reached, did not take the order or did not load.
-    AtReplica,
-    /// It refused the version, as one that was not named.
+    /// The replica could not be reached, did not accept the order or did not load.
+    ReplicaFailed,
+    /// The replica refused the version because it was not named.
     NotNamed,
-    /// This daemon may not give orders any more.
+    /// This gateway may not give orders any more.
     MayNotOrder,
 }
 
-/// Orders one replica to load and waits until it has the weights; gives up after `max_lost` orders without an answer.
+/// Orders one replica to load the wanted weights and waits until it has them. Gives up after `max_unanswered` orders
+/// without an answer.
 pub(super) async fn bring_up_to_date(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
     wanted: ModelVersion,
-    max_lost: u32,
+    max_unanswered: u32,
 ) -> Result<(), LoadFailure> {
     replica.set_loading(Some(Instant::now()));
-    tell(state, replica, &wanted, None);
-    let end = load(state, replica, &wanted, max_lost).await;
+    report_status(state, replica, &wanted, None);
+    let outcome = order_and_wait(state, replica, &wanted, max_unanswered).await;
     replica.set_loading(None);
-    tell(state, replica, &wanted, Some(end));
-    end
+    report_status(state, replica, &wanted, Some(outcome));
+    outcome
 }
 
-async fn load(
+async fn order_and_wait(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
     wanted: &ModelVersion,
-    max_lost: u32,
+    max_unanswered: u32,
 ) -> Result<(), LoadFailure> {
-    order_until_taken(state, replica, wanted, max_lost).await?;
-    name_if_suspected(state, wanted);
+    order_until_taken(state, replica, wanted, max_unanswered).await?;
+    record_if_suspected(state, wanted);
     match wait_until_loaded(state, replica, wanted).await {
         true => Ok(()),
-        false => Err(LoadFailure::AtReplica),
+        false => Err(LoadFailure::ReplicaFailed),
     }
 }
 
-/// Takes a version for named that a replica has taken an order for: it refuses those that were not.
-pub fn name_if_suspected(state: &GatewayState, taken: &ModelVersion) {
+/// Records a suspected version as wanted after a replica has accepted an order for it: replicas refuse versions that
+/// were not named.
+pub fn record_if_suspected(state: &GatewayState, taken: &ModelVersion) {
     let since = state.suspected_weights.borrow().since(taken);
     if let Some(since) = since {
-        name_weights(state, taken, since);
+        record_wanted_weights(state, taken, since);
     }
 }
 
-/// Tells the other daemons, so that they send no requests to a replica that is loading; `end` is how it went, once it has
-/// ended.
-fn tell(
+/// Announces the state of a load to the other gateways, which send no requests to a replica that is loading. `outcome`
+/// is `None` until the load has ended.
+fn report_status(
     state: &GatewayState,
     replica: &Replica,
     wanted: &ModelVersion,
-    end: Option<Result<(), LoadFailure>>,
+    outcome: Option<Result<(), LoadFailure>>,
 ) {
-    state.peers.tell_loading(Loading {
+    state.peers.report_load_status(LoadStatus {
         replica: replica.id().to_owned(),
-        born: replica.life.born,
+        born: replica.incarnation.born,
         model: wanted.model.clone(),
         version: wanted.version,
-        is_done: end.is_some_and(|end| end.is_ok()),
-        has_failed: end.is_some_and(|end| end.is_err()),
-        is_refused: end == Some(Err(LoadFailure::NotNamed)),
+        is_done: outcome.is_some_and(|outcome| outcome.is_ok()),
+        has_failed: outcome.is_some_and(|outcome| outcome.is_err()),
+        is_refused: outcome == Some(Err(LoadFailure::NotNamed)),
     });
 }
 
-/// Gives the order until the replica has taken it.
+/// Repeats the order until the replica has accepted it.
 async fn order_until_taken(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
     wanted: &ModelVersion,
-    max_lost: u32,
+    max_unanswered: u32,
 ) -> Result<(), LoadFailure> {
-    if replica.order_sequence().is_none() && !learn_state(state, replica).await {
-        return Err(LoadFailure::AtReplica);
+    if replica.order_sequence().is_none() && !fetch_order_sequence(state, replica).await {
+        return Err(LoadFailure::ReplicaFailed);
     }
-    let mut lost = 0;
+    let mut unanswered = 0;
     for _ in 0..MAX_ORDERS {
-        // It must not run out before the order has been sent: a connection may have to come up first.
+        // The token must stay valid until the order is sent, which may first require a new connection.
         let Some(token) = state.lease.borrow().token_at(state.now() + ORDER_TIMEOUT) else {
             return Err(LoadFailure::MayNotOrder);
         };
@@ -136,7 +140,8 @@
             expected_sequence: replica.order_sequence(),
         };
         let call = state.platform.order(&order);
-        // Timers stand still with the machine, so the token may have run out while the connection came up.
+        // Timers stop while the machine is suspended, so the token may have expired while the connection was
+        // established.
         let holds_token = || state.lease.borrow().token_at(state.now()) == Some(token);
         let answer = upstream::call_if(&replica.pool, &call, ORDER_TIMEOUT, holds_token).await;
         let answer = answer.map(|(status, _)| state.platform.read_order(status));
@@ -147,12 +152,12 @@
                 return Ok(());
             }
             Ok(OrderAnswer::Holds) => {
-                note_loaded(replica, wanted);
+                record_loaded(replica, wanted);
                 return Ok(());
             }
             Ok(OrderAnswer::Conflict) => {
-                if !learn_sequence(state, replica, wanted).await {
-                    return Err(LoadFailure::AtReplica);
+                if !handle_conflict(state, replica, wanted).await {
+                    return Err(LoadFailure::ReplicaFailed);
                 }
             }
             Ok(OrderAnswer::Fenced) => {
@@ -161,77 +166,77 @@
             }
             Ok(OrderAnswer::NotNamed) => return Err(LoadFailure::NotNamed),
             Ok(OrderAnswer::Misdirected | OrderAnswer::Refused) => {
-                return Err(LoadFailure::AtReplica);
+                return Err(LoadFailure::ReplicaFailed);
             }
             Err(CallError::NotSent(_)) if !holds_token() => return Err(LoadFailure::MayNotOrder),
-            Err(CallError::NotSent(_)) => return Err(LoadFailure::AtReplica),
-            Err(CallError::Lost(_) | CallError::TimedOut(_)) => lost += 1,
+            Err(CallError::NotSent(_)) => return Err(LoadFailure::ReplicaFailed),
+            Err(CallError::NoAnswer(_) | CallError::TimedOut(_)) => unanswered += 1,
         }
-        if lost >= max_lost {
+        if unanswered >= max_unanswered {
             break;
         }
     }
-    Err(LoadFailure::AtReplica)
+    Err(LoadFailure::ReplicaFailed)
 }
 
-/// After a conflict: the replica is doing something else, or was ordered by another daemon before.
-async fn learn_sequence(
+/// Handles a conflict: the replica is busy, or another gateway has given it an order since.
+async fn handle_conflict(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
     wanted: &ModelVersion,
 ) -> bool {
     tokio::time::sleep(REPORT_INTERVAL).await;
-    let Some(report) = report(state, replica).await else {
+    let Some(report) = fetch_report(state, replica).await else {
         return false;
     };
-    take_report(replica, &report);
+    apply_report(replica, &report);
     if report.is_busy {
         return wait_until_loaded(state, replica, wanted).await;
     }
     true
 }
 
-/// Learns how many orders a replica has taken; false where it does not say.
-async fn learn_state(state: &Rc<GatewayState>, replica: &Rc<Replica>) -> bool {
-    let Some(report) = report(state, replica).await else {
+/// Fetches the number of orders that a replica has accepted; returns false if it sends no report.
+async fn fetch_order_sequence(state: &Rc<GatewayState>, replica: &Rc<Replica>) -> bool {
+    let Some(report) = fetch_report(state, replica).await else {
         return false;
     };
-    take_report(replica, &report);
+    apply_report(replica, &report);
     true
 }
 
-fn take_report(replica: &Replica, report: &ReplicaReport) {
+fn apply_report(replica: &Replica, report: &ReplicaReport) {
     replica.set_order_sequence(report.order_sequence);
-    replica.take_models(&report.models);
+    replica.record_models(&report.models);
 }
 
-/// Waits until the replica reports the weights.
+/// Waits until the replica reports the wanted weights.
 async fn wait_until_loaded(
     state: &Rc<GatewayState>,
     replica: &Rc<Replica>,
     wanted: &ModelVersion,
 ) -> bool {
-    let began = Instant::now();
-    let mut silent = 0;
-    while began.elapsed() < LONGEST_LOAD {
+    let started_at = Instant::now();
+    let mut missed_reports = 0;
+    while started_at.elapsed() < LOAD_TIMEOUT {
         if replica.version_of(&wanted.model) >= Some(wanted.version) {
             return true;
         }
         tokio::time::sleep(REPORT_INTERVAL).await;
-        match report(state, replica).await {
+        match fetch_report(state, replica).await {
             Some(report) => {
-                silent = 0;
-                replica.take_models(&report.models);
-                let has_ended = !report.is_busy && began.elapsed() > REPORT_LAG;
+                missed_reports = 0;
+                replica.record_models(&report.models);
+                let has_ended = !report.is_busy && started_at.elapsed() > REPORT_LAG;
                 if replica.version_of(&wanted.model) >= Some(wanted.version) {
-                    note_loaded(replica, wanted);
+                    record_loaded(replica, wanted);
                 } else if has_ended {
                     return false;
                 }
             }
             None => {
-                silent += 1;
-                if silent > 3 || !state.registry.is_current(&replica.life) {
+                missed_reports += 1;
+                if missed_reports > 3 || !state.registry.is_current(&replica.incarnation) {
                     return false;
                 }
             }
@@ -240,21 +245,31 @@
     false
 }
 
-async fn report(state: &Rc<GatewayState>, replica: &Rc<Replica>) -> Option<ReplicaReport> {
+async fn fetch_report(state: &Rc<GatewayState>, replica: &Rc<Replica>) -> Option<ReplicaReport> {
     let call = state.platform.report();
     let answer = upstream::call(&replica.pool, &call, REPORT_TIMEOUT).await;
     let failed = |error: &upstream::CallError| {
-        log::debug!("no report of {:?}: {error}", replica.life);
+        log::debug!(
+            "could not fetch the report of {:?}: {error}",
+            replica.incarnation
+        );
     };
     let (status, body) = answer.inspect_err(failed).ok()?;
     if !status.is_success() {
-        log::debug!("{:?} answered {status} for a report", replica.life);
+        log::debug!(
+            "report request to {:?} failed with status {status}",
+            replica.incarnation
+        );
         return None;
     }
     match state.platform.read_report(&body) {
-        Ok(report) if is_of_life(&report, replica) => Some(report),
+        Ok(report) if is_from_incarnation(&report, replica) => Some(report),
         Ok(report) => {
-            log::debug!("report of {:?}, not of {:?}", report.born, replica.life);
+            log::debug!(
+                "report is from incarnation born={:?}, expected {:?}",
+                report.born,
+                replica.incarnation
+            );
             None
         }
         Err(error) => {
@@ -265,13 +280,14 @@
     }
 }
 
-/// Whether a report is not that of another life, which has taken other orders and may have other weights.
-fn is_of_life(report: &ReplicaReport, replica: &Replica) -> bool {
-    report.born.is_none() || report.born == replica.life.born
+/// Whether a report may be from this incarnation of the replica. Another incarnation has accepted other orders and may
+/// have other weights.
+fn is_from_incarnation(report: &ReplicaReport, replica: &Replica) -> bool {
+    report.born.is_none() || report.born == replica.incarnation.born
 }
 
-fn note_loaded(replica: &Replica, wanted: &ModelVersion) {
-    replica.note_version(&wanted.model, wanted.version);
+fn record_loaded(replica: &Replica, wanted: &ModelVersion) {
+    replica.record_version(&wanted.model, wanted.version);
     log_event!(
         gateway::WEIGHTS_LOADED,
         "replica={} model={} version={} after={:?}",
--- a/crates/gateway/src/rollout/plan.rs
+++ b/crates/gateway/src/rollout/plan.rs
@@ -1,69 +1,76 @@
-//! Which replicas load new weights next.
+//! Choice of the replicas that load new weights next.
 
 use std::time::Duration;
 
-/// A replica in the eyes of the plan.
+/// What the plan needs to know of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedReplica {
-    /// Its id.
+    /// Id of the replica.
     pub id: String,
-    /// Its zone.
+    /// Zone of the replica.
     pub zone: String,
-    /// The version of its weights, where that is older than wanted.
+    /// Version of its weights if that is older than the wanted one.
     pub outdated_version: Option<u64>,
-    /// Whether it is loading, or was told to.
+    /// Whether the replica is loading weights or was ordered to.
     pub is_loading: bool,
-    /// Requests of this daemon that are open there.
+    /// Number of open requests of this gateway at the replica.
     pub open_requests: u32,
-    /// How long it is left alone after an order that failed.
-    pub pause: Duration,
+    /// How long the replica gets no further order after one that failed.
+    pub remaining_backoff: Duration,
     /// Whether its weights are so old that it gets no requests.
-    pub is_out_of_use: bool,
-    /// Whether it could not be reached lately, by requests or by orders.
+    pub has_expired_weights: bool,
+    /// Whether recent requests or orders did not reach it.
     pub is_unreachable: bool,
 }
 
-/// One in so many replicas of a service loads at once: the store of weights serves about so many at full
-/// speed, and the others have to bear the traffic meanwhile.
+/// Ratio of the replicas of a service to those that load at once. The weight store serves about this share of them at full
+/// speed, and the other replicas have to bear the traffic meanwhile.
 const REPLICAS_PER_LOAD: usize = 5;
 
-/// How many replicas of a service may load at once; rounded half up.
+/// Number of replicas of a service that may load at once, rounded half up.
 pub fn parallel_loads(replicas: usize) -> usize {
     ((2 * replicas + REPLICAS_PER_LOAD) / (2 * REPLICAS_PER_LOAD)).max(1)
 }
 
-/// The replicas that should load now: all that are out of use until they do, even beyond the number that
-/// may load at once, since nobody misses them meanwhile; then those that can be reached before the others, the
-/// oldest weights first, no two of one zone before every zone has one, and those with the fewest open requests
-/// first.
+/// Returns the ids of the replicas that should load now.
+///
+/// All replicas with expired weights are included, even beyond the number that may load at once, since they serve no
+/// requests until they have loaded. The others are ordered by whether they can be reached, by the age of their weights
+/// (oldest first), by the number of loads in their zone, and by open requests (fewest first).
 pub fn next_loads(replicas: &[PlannedReplica]) -> Vec<String> {
     let loading = replicas.iter().filter(|replica| replica.is_loading);
-    let mut zones: Vec<&str> = loading.map(|replica| replica.zone.as_str()).collect();
-    let free = parallel_loads(replicas.len()).saturating_sub(zones.len());
-    let due = replicas.iter().filter(|replica| {
-        replica.outdated_version.is_some() && !replica.is_loading && replica.pause.is_zero()
+    let mut loading_zones: Vec<&str> = loading.map(|replica| replica.zone.as_str()).collect();
+    let free_loads = parallel_loads(replicas.len()).saturating_sub(loading_zones.len());
+    let eligible = replicas.iter().filter(|replica| {
+        replica.outdated_version.is_some()
+            && !replica.is_loading
+            && replica.remaining_backoff.is_zero()
     });
-    let (out_of_use, mut waiting): (Vec<&PlannedReplica>, Vec<&PlannedReplica>) =
-        due.partition(|replica| replica.is_out_of_use);
+    let (out_of_use, mut candidates): (Vec<&PlannedReplica>, Vec<&PlannedReplica>) =
+        eligible.partition(|replica| replica.has_expired_weights);
     let mut chosen: Vec<String> = out_of_use
         .iter()
         .map(|replica| replica.id.clone())
         .collect();
-    while chosen.len() < free && !waiting.is_empty() {
-        let in_zone =
-            |replica: &&PlannedReplica| zones.iter().filter(|zone| **zone == replica.zone).count();
-        waiting.sort_by_key(|replica| {
+    while chosen.len() < free_loads && !candidates.is_empty() {
+        let loads_in_zone = |replica: &&PlannedReplica| {
+            loading_zones
+                .iter()
+                .filter(|zone| **zone == replica.zone)
+                .count()
+        };
+        candidates.sort_by_key(|replica| {
             let version = replica.outdated_version;
             (
                 replica.is_unreachable,
                 version,
-                in_zone(replica),
+                loads_in_zone(replica),
                 replica.open_requests,
                 replica.id.clone(),
             )
         });
-        let next = waiting.remove(0);
-        zones.push(&next.zone);
+        let next = candidates.remove(0);
+        loading_zones.push(&next.zone);
         chosen.push(next.id.clone());
     }
     chosen
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,7 +1,7 @@
-//! Sockets, readiness, start and stop.
+//! Sockets, readiness, start and stop of a gateway.
 //!
-//! One worker thread serves callers and follows the store: the machines have a fraction of a core, and a
-//! second thread would only add wake-ups. A second small server answers whether the gateway is ready.
+//! One worker thread serves callers and follows the store: the machines have a fraction of a core, and a second thread
+//! would only add wake-ups. A second small server answers readiness probes.
 
 mod listeners;
 mod stop;
@@ -36,13 +36,13 @@
 use crate::store;
 use listeners::Listeners;
 
-/// How long an idle connection of a caller is kept.
+/// How long an idle connection of a caller is kept open.
 const KEEP_ALIVE: Seconds = Seconds(75);
 
-/// How long the head of a request may take to come.
+/// Time limit for a request's head to arrive.
 const HEAD_TIMEOUT: Seconds = Seconds(30);
 
-/// The largest head of a request, in bytes.
+/// Maximum size of a request's head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// Starts gateways.
@@ -50,11 +50,11 @@
 
 /// A gateway that runs in this process.
 pub struct RunningGateway {
-    /// What its threads share.
+    /// Status that its threads share.
     pub status: Arc<SharedStatus>,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where it tells whether it is ready.
+    /// Address for readiness probes.
     pub health: SocketAddr,
     settings: GatewaySettings,
     stop: Option<oneshot::Sender<()>>,
@@ -75,7 +75,7 @@
         let (callers, health) = listeners.addresses()?;
         let status = Arc::new(SharedStatus::default());
         let (stop, stopped) = oneshot::channel();
-        let (started, is_started) = mpsc::channel();
+        let (started, start_signal) = mpsc::channel();
         let thread_status = Arc::clone(&status);
         let thread_settings = settings.clone();
         let thread = std::thread::Builder::new()
@@ -85,9 +85,9 @@
                 system.block_on(async move {
                     let servers =
                         Servers::start(&thread_settings, &platform, &thread_status, listeners)?;
-                    // Nobody waits any more where the start was given up.
+                    // If the receiver is gone, the start was given up.
                     let _ = started.send(());
-                    // A sender that is gone means that the process ends.
+                    // A dropped sender also means that the gateway has to stop.
                     let _ = stopped.await;
                     servers.stop().await;
                     Ok(())
@@ -102,7 +102,7 @@
             stop: Some(stop),
             thread: Some(thread),
         };
-        if is_started.recv().is_err() {
+        if start_signal.recv().is_err() {
             running.join()?;
             return Err(anyhow!("the gateway ended before it served"));
         }
@@ -118,26 +118,26 @@
 }
 
 impl RunningGateway {
-    /// A planned stop: not ready any more, then open requests end, then the gateway.
+    /// Planned stop: reports itself as not ready, waits for open requests to end, then ends the gateway.
     ///
     /// # Errors
     ///
     /// The gateway's thread failed.
     pub fn stop(mut self) -> anyhow::Result<()> {
-        self.finish();
-        self.end()
+        self.drain();
+        self.shut_down()
     }
 
-    /// The first part of a planned stop: not ready any more, then open requests end. The process should end right after
-    /// it, see [`RunningGateway::stop`] for one that goes on.
-    pub fn finish(&self) {
+    /// First part of a planned stop: reports itself as not ready, then waits for open requests to end. The process
+    /// should end right after it; in a process that goes on, use [`RunningGateway::stop`].
+    pub fn drain(&self) {
         self.status.is_stopping.store(true, Ordering::Release);
         log_event!(
             gateway::GATEWAY_STOPPING,
             "open={}",
             self.status.open_requests.load(Ordering::Acquire)
         );
-        stop::wait_for_callers(&self.status, self.settings.times.stop_grace);
+        stop::wait_for_open_requests(&self.status, self.settings.times.stop_grace);
         log_event!(
             gateway::GATEWAY_STOPPED,
             "open={}",
@@ -145,7 +145,7 @@
         );
     }
 
-    /// Reads the settings file again. What listens stays as it is; faulty settings change nothing.
+    /// Reads the settings file again. Listening addresses stay as they are; invalid settings change nothing.
     pub fn reload(&self, file: &Path) {
         match load_gateway(file) {
             Ok(settings) => {
@@ -161,18 +161,18 @@
 
     /// Ends at once, as a crash would.
     pub fn kill(mut self) {
-        self.end_and_log();
+        self.shut_down_and_log();
     }
 
-    fn end(&mut self) -> anyhow::Result<()> {
+    fn shut_down(&mut self) -> anyhow::Result<()> {
         self.stop = None;
         self.join()
     }
 
-    /// Ends where nobody takes a failure of the gateway's thread in.
-    fn end_and_log(&mut self) {
-        if let Err(error) = self.end() {
-            log::warn!("the gateway ended with {error:#}");
+    /// Ends the gateway and logs a failure of its thread, where there is no caller to return it to.
+    fn shut_down_and_log(&mut self) {
+        if let Err(error) = self.shut_down() {
+            log::warn!("the gateway failed: {error:#}");
         }
     }
 
@@ -188,11 +188,11 @@
 
 impl Drop for RunningGateway {
     fn drop(&mut self) {
-        self.end_and_log();
+        self.shut_down_and_log();
     }
 }
 
-/// The HTTP servers of a gateway.
+/// HTTP servers of a gateway.
 struct Servers {
     callers: Server,
     health: Server,
@@ -243,7 +243,7 @@
     let server = HttpServer::new(async move || {
         let state = GatewayState::new(settings.clone(), Arc::clone(&platform), Arc::clone(&status));
         store::spawn_all(&state);
-        ntex::rt::spawn(peers::bound_first_word(Rc::clone(&state)));
+        ntex::rt::spawn(peers::limit_confirmation_wait(Rc::clone(&state)));
         if let Ok(socket) = peers_socket.try_clone() {
             ntex::rt::spawn(peers::run(Rc::clone(&state), socket));
         }
--- a/crates/gateway/src/store/copied_entries.rs
+++ b/crates/gateway/src/store/copied_entries.rs
@@ -1,5 +1,5 @@
-//! Entries of replicas that came back with a copy of the store, or by a late write after they had left, see
-//! [`crate::replicas::GoneLives`].
+//! Entries of replicas that reappear although the replica is gone: because the store was restored from a copy, or because of a
+//! late write after the replica had left. See [`crate::replicas::RemovedIncarnations`].
 
 use driftspring_clock::Instant;
 use driftspring_telemetry::events::gateway;
@@ -9,67 +9,71 @@
 use crate::peers::message::{Change, Item, WireReplica};
 use crate::state::GatewayState;
 
-/// Whether a told entry is not to be used: that life was gone before the store came back from a copy, or had left. One that is still in use
-/// without an entry has waited for it.
-pub fn is_held_back(state: &GatewayState, told: &WireReplica) -> bool {
-    let is_in_use = state.registry.get(&told.id).is_some();
+/// Whether a reported entry must not be used because that incarnation was gone before the store was restored from a copy, or
+/// had left. The entry of a replica that is still in use is never held back.
+pub fn is_held_back(state: &GatewayState, entry: &WireReplica) -> bool {
+    let is_in_use = state.registry.get(&entry.id).is_some();
     if is_in_use {
         return false;
     }
     let changes = state.store_eras.changes();
-    let mut gone = state.gone_lives.borrow_mut();
-    let was_held = gone.is_held_back(&told.id);
-    let is_held = gone.holds_back(told, changes, Instant::now());
+    let mut gone = state.removed_incarnations.borrow_mut();
+    let was_held = gone.is_held_back(&entry.id);
+    let is_held = gone.hold_back(entry, changes, Instant::now());
     if is_held && !was_held {
         state.status.metrics.replicas_held_back.inc();
         log_event!(
             gateway::REPLICA_HELD_BACK,
             "replica={} born={:?}",
-            told.id,
-            told.born
+            entry.id,
+            entry.born
         );
     }
     is_held
 }
 
-/// Takes in that the entry of a replica is gone for good, which was `known` until then; one that was held back was not known.
+/// Records that the entry of a replica was removed. `known` is the entry that was in use until then; an entry that was held
+/// back was not.
 pub fn note_gone(state: &GatewayState, id: &str, known: Option<&Item>) {
     let changes = state.store_eras.changes();
     let now = Instant::now();
-    let mut gone = state.gone_lives.borrow_mut();
+    let mut gone = state.removed_incarnations.borrow_mut();
     match known {
         Some(Item::Replica(known)) => {
-            gone.note_gone(id, known.born, changes, now);
+            gone.record_removal(id, known.born, changes, now);
             if known.is_draining {
-                gone.note_left(id);
+                gone.record_leaving(id);
             }
         }
-        _ => gone.note_removed(id, changes, now),
+        _ => gone.record_repeated_removal(id, changes, now),
     }
 }
 
-/// Takes in where the store has the entry of a replica: what was written after the first answer of its era did not come with
-/// the copy.
+/// Records the store position of a replica's entry: an entry written after the first answer of its era does not come from the
+/// copy, so it is no longer held back.
 pub(super) fn note_written(state: &GatewayState, id: &str, position: StorePosition) {
-    let begin = state.store_era_begin.get();
-    if position.era == begin.era && position.revision > begin.revision {
-        state.gone_lives.borrow_mut().forget(id);
+    let start = state.store_era_start.get();
+    if position.era == start.era && position.revision > start.revision {
+        state.removed_incarnations.borrow_mut().record_rewrite(id);
     }
 }
 
-/// Puts entries into use that were held back for long enough: the platform has not removed them. A daemon that follows another
-/// may not have heard of a removal, and asks for everything anew.
+/// Puts entries into use that were held back for long enough without being removed by the platform. A gateway that follows
+/// another may have missed a removal, so it requests the complete state instead.
 pub fn release(state: &GatewayState) {
-    let released = state.gone_lives.borrow_mut().take_over(Instant::now());
+    let released = state
+        .removed_incarnations
+        .borrow_mut()
+        .release_expired(Instant::now());
     if released.is_empty() {
         return;
     }
     if !state.peers.is_reader.get() {
-        state.peers.learnt_elsewhere();
+        state.peers.reset_followed_log();
         return;
     }
     for entry in released {
         state.apply(Change::Put(Item::Replica(entry)));
     }
-    state.registry_changed();
+    state.publish_changes();
 }
--- a/crates/gateway/src/store/follow.rs
+++ b/crates/gateway/src/store/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the objects of one kind: a list, then watches from its revision on.
+//! Follows the store objects of one kind: lists them, then watches for changes after the list's revision.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -18,97 +18,98 @@
 use crate::configuration::Configuration;
 use crate::peers::message::{Change, Item, ItemKey, WireDaemon};
 use crate::protocol::{ObjectContent, ObjectKind, StoredObject};
-use crate::rollout::{LEASE_NAME, record_in};
-use crate::state::{GatewayState, JUST_STARTED};
+use crate::rollout::{LEASE_NAME, lease_record};
+use crate::state::{GatewayState, STARTUP_WINDOW};
 
-/// How long one watch waits for a change.
-const WATCH_WAIT: Duration = Duration::from_secs(15);
+/// How long a watch waits for a change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The pause between a watch that ended and the next list.
-const PAUSE_AFTER_WATCH: Duration = Duration::from_millis(200);
+/// Delay between the end of a watch and the next list.
+const RELIST_DELAY: Duration = Duration::from_millis(200);
 
-/// The pause between two watches of daemons, which come in crowds and don't matter at once.
-const DAEMONS_PAUSE: Duration = Duration::from_millis(600);
+/// Delay between two watches of gateways: their changes come in bursts and are not urgent.
+const DAEMONS_WATCH_DELAY: Duration = Duration::from_millis(600);
 
-/// The pause between two watches of replicas: while new weights are loaded an entry changes every few ten
-/// milliseconds, and each watch that returns is paid for. A tenth of the time in which a replica that is
-/// leaving may still get requests (`drainMs`, 2 s).
-const REPLICAS_PAUSE: Duration = Duration::from_millis(200);
+/// Delay between two watches of replicas: while new weights are loaded, an entry changes every few tens of milliseconds, and
+/// each answered watch is charged for. This is a tenth of the time in which a draining replica may still get requests
+/// (`drainMs`, 2 s).
+const REPLICAS_WATCH_DELAY: Duration = Duration::from_millis(200);
 
-/// The pause between two watches of requests that end replicas: several are held, tried and cleared within seconds, and daemons
-/// tell each other of that. Only what an operator releases is heard of so much later.
-const QUARANTINE_PAUSE: Duration = Duration::from_millis(600);
+/// Delay between two watches of quarantined requests: several may be held, tried and cleared within seconds, and gateways
+/// notify each other of that. Only a release by an operator is learned this much later.
+const QUARANTINE_WATCH_DELAY: Duration = Duration::from_millis(600);
 
-/// How long a list waits that may wait: what comes and goes within that time, such as a reader while the store is in trouble,
-/// costs no list (457 instead of 484 calls a day, mean of 18 standard days).
-const UNHURRIED_PAUSE: Duration = Duration::from_millis(2500);
+/// Delay before a list that is not urgent: a reader that is replaced within that time, as happens during trouble at the store,
+/// makes no list (457 instead of 484 calls a day, mean of 18 standard days).
+const DEFERRED_LIST_DELAY: Duration = Duration::from_millis(2500);
 
-/// How often a watch looks whether the store has changed without it. With a read of the configuration each
-/// 0.9 s, which tells the store's revision, an answer that was lost is asked for again within 1.4 s; a replica
-/// that leaves may get requests for 2 s (`drainMs`).
-const LOST_ANSWER_LOOK: Duration = Duration::from_millis(500);
+/// Interval at which a pending watch checks whether the store has advanced without an answer to it. Reads of the
+/// configuration, each 0.9 s, return the store's revision, so a watch whose answer was lost is repeated within 1.4 s; a
+/// draining replica may get requests for 2 s (`drainMs`).
+const LOST_ANSWER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Follows `kind` whenever this daemon reads the store for its group. Whenever a watch ends otherwise than
-/// by an answer, the list is read anew, since changes may have been missed. So is it after trouble at the store:
-/// a watch from before may be deaf. A watch also ends when the store changes its era, see [`super::era`].
+/// Follows `kind` whenever this gateway reads the store for its group. When a watch ends without an answer, the objects are
+/// listed again, since changes may have been missed. The same happens after an outage of the store, because a watch from
+/// before may never be answered. A watch also ends when the store changes its era, see [`super::era`].
 pub async fn run(state: Rc<GatewayState>, kind: ObjectKind) {
     if let Some(objects) = first_list(&state, kind).await {
-        take_list(&state, kind, objects, StorePosition::default());
+        apply_list(&state, kind, objects, StorePosition::default());
     }
     let mut failures = 0;
-    let mut listed_in = state.store_eras.changes();
+    let mut changes_at_list = state.store_eras.changes();
     loop {
-        state.peers.until_reader().await;
-        let is_of_other_era = state.store_eras.changes() != listed_in;
-        if is_unhurried(&state, kind) && !is_of_other_era {
-            tokio::time::sleep(UNHURRIED_PAUSE).await;
+        state.peers.wait_until_reader().await;
+        let has_era_changed = state.store_eras.changes() != changes_at_list;
+        if is_list_deferrable(&state, kind) && !has_era_changed {
+            tokio::time::sleep(DEFERRED_LIST_DELAY).await;
             if !state.peers.is_reader.get() {
                 continue;
             }
         }
         let listing = || list_all(&state, kind);
-        let (began, result) = state.store_outage.call(listing).await;
+        let (started_at, result) = state.store_outage.call(listing).await;
         match result {
             Ok((objects, position)) => {
                 failures = 0;
-                listed_in = state.store_eras.changes();
-                take_list(&state, kind, objects, position);
-                note_following(&state, kind, Some(began));
+                changes_at_list = state.store_eras.changes();
+                apply_list(&state, kind, objects, position);
+                note_following(&state, kind, Some(started_at));
                 tokio::select! {
                     error = watch_from(&state, kind, position) => {
                         log::debug!("watch of {kind:?} ended: {error}");
                     }
-                    () = state.peers.until_follower() => {}
+                    () = state.peers.wait_until_follower() => {}
                     () = state.store_outage.ended() => {}
                 }
                 note_following(&state, kind, None);
-                tokio::time::sleep(PAUSE_AFTER_WATCH).await;
+                tokio::time::sleep(RELIST_DELAY).await;
             }
             Err(error) => {
                 failures += 1;
                 log::debug!("list of {kind:?} failed: {error}");
-                let pause = state.store_outage.follower_pause(failures);
+                let pause = state.store_outage.follower_backoff(failures);
                 state.store_outage.wait(pause).await;
             }
         }
     }
 }
 
-/// Whether a list may wait: daemons tell each other what is quarantined, so one that has run for a while knows it from them.
-fn is_unhurried(state: &GatewayState, kind: ObjectKind) -> bool {
-    kind == ObjectKind::Quarantine && state.now() > JUST_STARTED
+/// Whether a list is not urgent: gateways tell each other what is quarantined, so one that has run for a while knows it from
+/// the others.
+fn is_list_deferrable(state: &GatewayState, kind: ObjectKind) -> bool {
+    kind == ObjectKind::Quarantine && state.now() > STARTUP_WINDOW
 }
 
-/// What is listed at the start of a daemon that was started again, whichever daemon reads the store for the group:
-/// callers come to it at once. Its source tells it within half a second what has changed since a recent list of
-/// replicas, but weights count from when they were named. In a large group only the few that may read the store list
-/// the replicas.
+/// The list that a restarted gateway reads at its start, whichever gateway reads the store for the group, since callers use it
+/// at once. Replicas are listed from data that may be seconds old, since the gateway's source reports later changes within
+/// half a second; weights are listed from current data, since their deadlines count from the time they were named. In a large
+/// group only the few gateways that may read the store list the replicas.
 async fn first_list(state: &GatewayState, kind: ObjectKind) -> Option<Vec<StoredObject>> {
     if state.settings.is_first_start {
         return None;
     }
     let listed = match kind {
-        ObjectKind::Replicas if !state.peers.wants_first_list().await => return None,
+        ObjectKind::Replicas if !state.peers.must_list_at_start().await => return None,
         ObjectKind::Replicas => list_recent(state, kind).await,
         ObjectKind::Weights => list_all(state, kind).await.map(|(objects, _)| objects),
         ObjectKind::Configuration
@@ -121,8 +122,8 @@
         .ok()
 }
 
-/// Takes in that this daemon follows `kind` from a list that was read at `listed_at`, or does not any more; the
-/// others may rely on what it tells while it follows replicas.
+/// Records that this gateway follows `kind` from a list read at `listed_at`, or no longer follows it (`None`). Other gateways
+/// may rely on its view while it follows replicas.
 fn note_following(state: &GatewayState, kind: ObjectKind, listed_at: Option<Instant>) {
     if kind != ObjectKind::Replicas {
         return;
@@ -133,7 +134,7 @@
     }
 }
 
-/// Takes in changes until a watch fails.
+/// Watches from `position` and applies changes until a watch fails; returns the error.
 async fn watch_from(
     state: &Rc<GatewayState>,
     kind: ObjectKind,
@@ -141,20 +142,20 @@
 ) -> StoreError {
     loop {
         let page = tokio::select! {
-            page = watch(state, kind, position, WATCH_WAIT) => page,
-            () = until_overtaken(state, kind) => continue,
+            page = watch(state, kind, position, WATCH_TIMEOUT) => page,
+            () = until_store_advances(state, kind) => continue,
         };
         match page {
             Ok(page) => {
                 for event in page.events {
-                    take_event(state, kind, event.object, event.is_deleted);
+                    apply_event(state, kind, event.object, event.is_deleted);
                 }
-                state.registry_changed();
+                state.publish_changes();
                 position = position.max(page.position);
                 if kind == ObjectKind::Weights {
                     state.known_namings.note_read(position);
                 }
-                if let Some(pause) = pause_between_watches(kind) {
+                if let Some(pause) = watch_delay(kind) {
                     tokio::time::sleep(pause).await;
                 }
             }
@@ -163,66 +164,66 @@
     }
 }
 
-/// Ends when the answer of a watch that begins now may be lost, since the store has changed without it: an answer can
-/// be lost without a call that fails. The change may be one of another kind, so the watch is asked again from where it
-/// stood, once for each look. Only for kinds whose changes must be known within a bound, and of which nothing else tells.
-async fn until_overtaken(state: &GatewayState, kind: ObjectKind) {
+/// Waits until the store has advanced although a watch that starts now was not answered: its answer may be lost without a
+/// failed call. The change may be one of another kind, so the watch is repeated from the same position, at most once per
+/// check. Waits forever for kinds whose changes need not be known within a bound, or are also reported in another way.
+async fn until_store_advances(state: &GatewayState, kind: ObjectKind) {
     if !matches!(kind, ObjectKind::Replicas | ObjectKind::Weights) {
         return std::future::pending().await;
     }
     let position = state.store_position.get();
     loop {
-        tokio::time::sleep(LOST_ANSWER_LOOK).await;
+        tokio::time::sleep(LOST_ANSWER_CHECK_INTERVAL).await;
         if state.store_position.get() > position {
             return;
         }
     }
 }
 
-/// How long changes of a kind gather before the next watch asks for them.
-fn pause_between_watches(kind: ObjectKind) -> Option<Duration> {
+/// How long changes of a kind accumulate before the next watch.
+fn watch_delay(kind: ObjectKind) -> Option<Duration> {
     match kind {
-        ObjectKind::Daemons => Some(DAEMONS_PAUSE),
-        ObjectKind::Replicas => Some(REPLICAS_PAUSE),
-        ObjectKind::Quarantine => Some(QUARANTINE_PAUSE),
+        ObjectKind::Daemons => Some(DAEMONS_WATCH_DELAY),
+        ObjectKind::Replicas => Some(REPLICAS_WATCH_DELAY),
+        ObjectKind::Quarantine => Some(QUARANTINE_WATCH_DELAY),
         ObjectKind::Configuration | ObjectKind::Weights | ObjectKind::Leases => None,
     }
 }
 
-/// Takes in the whole list of objects as it was at `position`.
-fn take_list(
+/// Applies a complete list of objects as of `position`.
+fn apply_list(
     state: &GatewayState,
     kind: ObjectKind,
     objects: Vec<StoredObject>,
     position: StorePosition,
 ) {
     if kind == ObjectKind::Leases {
-        take_lease_list(state, objects);
+        apply_lease_list(state, objects);
         return;
     }
     if kind == ObjectKind::Weights {
-        follow_weights::take_list(state, objects);
+        follow_weights::apply_list(state, objects);
         state.known_namings.note_read(position);
         return;
     }
     if matches!(kind, ObjectKind::Replicas | ObjectKind::Daemons) {
-        take_items(state, kind, objects);
+        apply_item_list(state, kind, objects);
         return;
     }
     if kind == ObjectKind::Quarantine {
-        quarantine::take_list(state, &objects, position);
+        quarantine::apply_list(state, &objects, position);
     }
     for object in objects {
-        take_event(state, kind, object, false);
+        apply_event(state, kind, object, false);
     }
 }
 
-/// Takes in the whole list of replicas or daemons: what is not in it is gone, but for daemons that may have to write their
-/// entries again.
-pub fn take_items(state: &GatewayState, kind: ObjectKind, objects: Vec<StoredObject>) {
-    state.peers.learnt_elsewhere();
+/// Applies a complete list of replicas or gateways: those missing from it are gone, except gateways that may still have to
+/// rewrite their entries.
+pub fn apply_item_list(state: &GatewayState, kind: ObjectKind, objects: Vec<StoredObject>) {
+    state.peers.reset_followed_log();
     if kind == ObjectKind::Daemons {
-        state.peers.note_daemons_known();
+        state.peers.set_daemons_known();
     }
     let listed: HashSet<ItemKey> = objects
         .iter()
@@ -232,25 +233,25 @@
     let is_of_kind =
         |key: &ItemKey| matches!(key, ItemKey::Replica(_)) == (kind == ObjectKind::Replicas);
     let mut known: Vec<ItemKey> = state.peers.log.borrow().items().map(Item::key).collect();
-    let held_back = state.gone_lives.borrow().held_back();
+    let held_back = state.removed_incarnations.borrow().held_back();
     known.extend(held_back.into_iter().map(ItemKey::Replica));
-    let is_awaited = |key: &ItemKey| {
+    let is_missing_entry_tolerated = |key: &ItemKey| {
         let changed_ago = state.store_eras.changed_ago(Instant::now());
-        matches!(key, ItemKey::Daemon(_)) && own_entry::is_awaited(changed_ago)
+        matches!(key, ItemKey::Daemon(_)) && own_entry::is_missing_entry_tolerated(changed_ago)
     };
     let gone = known
         .into_iter()
-        .filter(|key| is_of_kind(key) && !listed.contains(key) && !is_awaited(key));
+        .filter(|key| is_of_kind(key) && !listed.contains(key) && !is_missing_entry_tolerated(key));
     for key in gone {
-        state.apply(Change::Gone(key));
+        state.apply(Change::Removed(key));
     }
     for object in objects {
-        take_event(state, kind, object, false);
+        apply_event(state, kind, object, false);
     }
-    state.registry_changed();
+    state.publish_changes();
 }
 
-/// What replicas and daemons are called among daemons.
+/// The key under which gateways exchange a replica or gateway; `None` for other kinds.
 fn item_key(kind: ObjectKind, name: &str) -> Option<ItemKey> {
     match kind {
         ObjectKind::Replicas => Some(ItemKey::Replica(name.to_owned())),
@@ -259,60 +260,60 @@
     }
 }
 
-fn take_event(state: &GatewayState, kind: ObjectKind, object: StoredObject, is_deleted: bool) {
+fn apply_event(state: &GatewayState, kind: ObjectKind, object: StoredObject, is_deleted: bool) {
     if is_deleted {
         if kind == ObjectKind::Quarantine {
-            quarantine::take_deleted(state, &object.name);
+            quarantine::apply_deletion(state, &object.name);
         }
         if let Some(key) = item_key(kind, &object.name) {
-            state.apply(Change::Gone(key));
+            state.apply(Change::Removed(key));
         }
         return;
     }
     if kind == ObjectKind::Leases {
         if object.name == LEASE_NAME {
             let mut lease = state.lease.borrow_mut();
-            lease.on_seen(state.now(), object.position, record_in(&object));
+            lease.on_seen(state.now(), object.position, lease_record(&object));
         }
         return note_unreadable(state, kind, &object);
     }
     match object.content {
-        Ok(ObjectContent::Configuration(_)) => take_configuration(state, object),
+        Ok(ObjectContent::Configuration(_)) => apply_configuration(state, object),
         Ok(ObjectContent::Replica(entry)) => {
-            copied_entries::note_written(state, &entry.life.id, object.position);
-            state.apply_stored(&entry);
+            copied_entries::note_written(state, &entry.incarnation.id, object.position);
+            state.apply_stored_entry(&entry);
         }
         Ok(ObjectContent::Weights(weights)) => {
-            follow_weights::take_written(state, &weights, object.position);
+            follow_weights::apply_written(state, &weights, object.position);
         }
         Ok(ObjectContent::Lease(_)) => {}
         Ok(ObjectContent::Daemon(daemon)) => {
             state.apply(Change::Put(Item::Daemon(WireDaemon::from(&daemon))));
         }
         Ok(ObjectContent::Quarantine(record)) => {
-            quarantine::take_record(state, &object.name, object.position, record);
+            quarantine::apply_record(state, &object.name, object.position, record);
         }
         Err(_) => {
             note_unreadable(state, kind, &object);
-            // Whatever its name meant before, it names no replica and no daemon now.
+            // Whatever entry this name had before, it is no valid replica or gateway now.
             if let Some(key) = item_key(kind, &object.name) {
-                state.apply(Change::Gone(key));
+                state.apply(Change::Removed(key));
             }
         }
     }
 }
 
-fn take_lease_list(state: &GatewayState, objects: Vec<StoredObject>) {
+fn apply_lease_list(state: &GatewayState, objects: Vec<StoredObject>) {
     let lease = objects.iter().find(|object| object.name == LEASE_NAME);
-    let known = lease.map(|object| (object.position, record_in(object)));
+    let known = lease.map(|object| (object.position, lease_record(object)));
     state.lease.borrow_mut().on_list(state.now(), known);
     for object in &objects {
         note_unreadable(state, ObjectKind::Leases, object);
     }
 }
 
-/// Puts a configuration in force, unless a newer one is.
-pub fn take_configuration(state: &GatewayState, object: StoredObject) {
+/// Puts a configuration in force if it is newer than the current one.
+pub fn apply_configuration(state: &GatewayState, object: StoredObject) {
     let configuration = match object.content {
         Ok(ObjectContent::Configuration(configuration)) => configuration,
         Ok(_) => return,
@@ -336,9 +337,13 @@
     put_in_force(state, *configuration);
 }
 
-/// Takes in a configuration that the daemon `holder` handed on, unless it is no newer than the one in force.
-pub fn take_handed_configuration(state: &GatewayState, configuration: Configuration, holder: &str) {
-    let before = state.held_version();
+/// Puts a configuration in force that the gateway `holder` handed on, if it is newer than the current one.
+pub fn apply_handed_on_configuration(
+    state: &GatewayState,
+    configuration: Configuration,
+    holder: &str,
+) {
+    let before = state.configuration_version();
     if configuration.version <= before {
         return;
     }
@@ -360,7 +365,7 @@
         .quotas
         .set_tenants(configuration.tenants(), Instant::now());
     state.configuration.store(Some(configuration.into()));
-    state.peers.nudge();
+    state.peers.announce_changes();
 }
 
 pub(super) fn note_unreadable(state: &GatewayState, kind: ObjectKind, object: &StoredObject) {
--- a/crates/gateway/src/store/quarantine.rs
+++ b/crates/gateway/src/store/quarantine.rs
@@ -1,6 +1,6 @@
-//! Keeps the records of requests that end replicas in the store, so that they outlive every daemon.
+//! Stores the records of requests that crash replicas, so that they survive the restart of every gateway.
 //!
-//! One object a request, named by its fingerprint, from its second strike on. An operator lists them there, and releases a
+//! From its second strike on, each request has an object named by its fingerprint. Operators list these objects, and release a
 //! request by deleting its object.
 
 use std::collections::HashMap;
@@ -19,34 +19,35 @@
     Freshness, ObjectContent, ObjectKind, Platform, QuarantineRecord, StoredObject,
     UnreadableReason, WriteAnswer,
 };
-use crate::quarantine::kept::{Kept, compare};
 use crate::quarantine::ledger::Ledger;
+use crate::quarantine::stored_state::{StoredState, compare};
 use crate::quarantine::{
-    Fingerprint, Record, Removal, Stored, Strike, TURN, Teller, is_first_home, is_turn, place, role,
+    Fingerprint, Record, RecordSource, Removal, Stored, Strike, WRITE_TURN, home_rank,
+    is_first_home, is_write_turn, role,
 };
 use crate::state::GatewayState;
 use crate::upstream::{self, Pool};
 
-/// The time between two tries to write a record or to remove some, doubled after each one in a row that failed.
-const RETRY: Duration = Duration::from_millis(1000);
+/// Base delay before the retry of a write or of the deletions, doubled with each consecutive failure, including the first.
+const RETRY_BASE_DELAY: Duration = Duration::from_millis(1000);
 
-/// How often it is doubled: a store that is down for long is called each 8 s by three daemons for each record.
-const RETRY_DOUBLINGS: u32 = 3;
+/// How often the delay doubles: a store that stays down is called every 8 s by three gateways for each record.
+const MAX_RETRY_DOUBLINGS: u32 = 3;
 
-/// The time after which old records are looked for while nothing else is to be done.
-const IDLE: Duration = Duration::from_secs(60);
+/// Interval of the check for expired records while nothing else is to be done.
+const IDLE_INTERVAL: Duration = Duration::from_secs(60);
 
-/// How far apart strikes are taken to have been that are known from the store, which tells no times.
-const APART: Duration = Duration::from_secs(1);
+/// Assumed interval between strikes read from the store, which records no times.
+const ASSUMED_STRIKE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An object of the quarantine.
+/// A store object with the record of a request.
 pub type QuarantineObject = StoredObject;
 
-/// Lists the records of requests that ended replicas, for an operator.
+/// Lists the records of requests that crashed replicas, for an operator.
 ///
 /// # Errors
 ///
-/// The store did not answer, refused, or its answer can't be read.
+/// The store did not answer, refused the call, or its answer can't be parsed.
 pub async fn list_quarantined(
     platform: &dyn Platform,
     store: SocketAddr,
@@ -71,11 +72,11 @@
     }
 }
 
-/// Deletes one of these objects, which releases its request at every daemon.
+/// Deletes one of these objects, which releases its request at every gateway.
 ///
 /// # Errors
 ///
-/// The store did not answer, refused, or the object has changed.
+/// The store did not answer, refused the call, or the object has changed.
 pub async fn delete_quarantined(
     platform: &dyn Platform,
     store: SocketAddr,
@@ -93,16 +94,16 @@
     }
 }
 
-/// The rest between two tries of the same call that failed. Other news don't end it: while replicas end they come many times a
+/// The delay before a failed call is retried. Other updates don't end it early: while replicas crash, they arrive many times a
 /// second.
 #[derive(Debug, Clone, Copy, Default)]
-struct Rest {
+struct Backoff {
     failures: u32,
     until: Duration,
 }
 
-impl Rest {
-    fn is_over(&self, now: Duration) -> bool {
+impl Backoff {
+    fn has_elapsed(&self, now: Duration) -> bool {
         now >= self.until
     }
 
@@ -111,46 +112,46 @@
             *self = Self::default();
             return;
         }
-        self.failures = (self.failures + 1).min(RETRY_DOUBLINGS);
-        self.until = now + RETRY * (1 << self.failures);
+        self.failures = (self.failures + 1).min(MAX_RETRY_DOUBLINGS);
+        self.until = now + RETRY_BASE_DELAY * (1 << self.failures);
     }
 }
 
-/// A record that the store does not keep as it is.
+/// A record whose current state is not in the store.
 #[derive(Debug, Clone, Copy)]
 struct Unstored {
     since: Duration,
-    rest: Rest,
+    backoff: Backoff,
 }
 
-/// Keeps the records in the store, for ever.
-pub(super) async fn keep(state: Rc<GatewayState>) {
+/// Writes the records to the store until the process ends.
+pub(super) async fn run(state: Rc<GatewayState>) {
     let mut unstored: HashMap<Fingerprint, Unstored> = HashMap::new();
-    let mut rest_of_removals = Rest::default();
-    let mut pause = IDLE;
+    let mut removal_backoff = Backoff::default();
+    let mut pause = IDLE_INTERVAL;
     loop {
-        // Ends early when there is something to keep.
-        let _ = tokio::time::timeout(pause, state.quarantine.kept.notified()).await;
+        // Ends early when there is something to store.
+        let _ = tokio::time::timeout(pause, state.quarantine.store_wakeup.notified()).await;
         forget_old(&state);
-        if rest_of_removals.is_over(state.quarantine.now()) {
+        if removal_backoff.has_elapsed(state.quarantine.now()) {
             let is_done = remove_all(&state).await;
-            rest_of_removals.note(is_done, state.quarantine.now());
+            removal_backoff.note(is_done, state.quarantine.now());
         }
-        for fingerprint in note_unstored(&state, &mut unstored) {
+        for fingerprint in update_unstored(&state, &mut unstored) {
             let is_done = store_one(&state, fingerprint).await;
             if let Some(unstored) = unstored.get_mut(&fingerprint) {
-                unstored.rest.note(is_done, state.quarantine.now());
+                unstored.backoff.note(is_done, state.quarantine.now());
             }
         }
         let count = state.quarantine.read(|ledger| ledger.quarantined().count());
         let count = i64::try_from(count).unwrap_or(i64::MAX);
         state.status.metrics.fingerprints_quarantined.set(count);
-        let has_more = !unstored.is_empty() || rest_of_removals.failures > 0;
-        pause = if has_more { TURN } else { IDLE };
+        let has_more = !unstored.is_empty() || removal_backoff.failures > 0;
+        pause = if has_more { WRITE_TURN } else { IDLE_INTERVAL };
     }
 }
 
-/// Forgets old records; what the store keeps of them is removed by the first of the daemons that count for them.
+/// Drops expired records; their objects are deleted by the first of the gateways responsible for the record.
 fn forget_old(state: &GatewayState) {
     let directory = state.peers.directory();
     for removal in state.quarantine.forget_old() {
@@ -160,16 +161,16 @@
     }
 }
 
-/// Brings the list of what the store does not keep yet up to date; those that it is this daemon's turn to write.
-fn note_unstored(
+/// Updates the list of records that are not in the store yet; returns those that it is this gateway's turn to write.
+fn update_unstored(
     state: &GatewayState,
     unstored: &mut HashMap<Fingerprint, Unstored>,
 ) -> Vec<Fingerprint> {
     let now = state.quarantine.now();
     let era = state.store_eras.known();
     let wanted = state.quarantine.read(|ledger| {
-        let wanted = ledger.known_to_all();
-        let wanted = wanted.filter(|(_, record)| record.is_to_be_stored(era));
+        let wanted = ledger.shared_records();
+        let wanted = wanted.filter(|(_, record)| record.needs_storing(era));
         wanted
             .map(|(fingerprint, _)| fingerprint)
             .collect::<Vec<_>>()
@@ -178,20 +179,21 @@
     for fingerprint in wanted {
         unstored.entry(fingerprint).or_insert(Unstored {
             since: now,
-            rest: Rest::default(),
+            backoff: Backoff::default(),
         });
     }
     let directory = state.peers.directory();
-    let own_place = |fingerprint: Fingerprint| place(&directory, fingerprint, state.peers.own());
+    let own_place =
+        |fingerprint: Fingerprint| home_rank(&directory, fingerprint, state.peers.own());
     let unstored = unstored.iter();
     let due = unstored.filter(|(fingerprint, unstored)| {
-        let lacking_for = now.saturating_sub(unstored.since);
-        unstored.rest.is_over(now) && is_turn(own_place(**fingerprint), lacking_for)
+        let unstored_for = now.saturating_sub(unstored.since);
+        unstored.backoff.has_elapsed(now) && is_write_turn(own_place(**fingerprint), unstored_for)
     });
     due.map(|(fingerprint, _)| *fingerprint).collect()
 }
 
-/// Writes the record of one request, in the place of an earlier one; false where it is not known to be kept.
+/// Writes the record of one request in place of an earlier one; returns false unless the record is known to be stored.
 async fn store_one(state: &GatewayState, fingerprint: Fingerprint) -> bool {
     let record = state
         .quarantine
@@ -202,12 +204,12 @@
     let era = state.store_eras.known();
     let expected = record.stored.position.filter(|stored| stored.era == era);
     let name = fingerprint.to_string();
-    let wanted = content_of(&record);
+    let wanted = record_to_store(&record);
     let content = ObjectContent::Quarantine(wanted.clone());
     let mut answer = write(state, ObjectKind::Quarantine, &name, &content, expected).await;
     if let WriteAnswer::Conflict(found) = answer {
         if let Some(found) = &found
-            && is_settled_by(state, fingerprint, found, &wanted)
+            && resolve_conflict(state, fingerprint, found, &wanted)
         {
             return true;
         }
@@ -236,8 +238,8 @@
     }
 }
 
-/// Takes in the object that is in the place of a record to be written; whether nothing is left to be written.
-fn is_settled_by(
+/// Handles an object that exists in place of a record to be written; returns whether nothing is left to be written.
+fn resolve_conflict(
     state: &GatewayState,
     fingerprint: Fingerprint,
     found: &StoredObject,
@@ -247,37 +249,37 @@
         return false;
     };
     match compare(kept, wanted) {
-        Kept::Whole => {
+        StoredState::Current => {
             let stored = Stored {
                 position: Some(found.position),
                 is_quarantined: kept.is_quarantined,
-                apart_trials: kept.apart_trials,
+                isolated_trials: kept.apart_trials,
             };
             state.quarantine.note_stored(fingerprint, stored);
             true
         }
-        Kept::Later => {
-            take_record(state, &found.name, found.position, kept.clone());
+        StoredState::Newer => {
+            apply_record(state, &found.name, found.position, kept.clone());
             true
         }
-        Kept::Part => false,
+        StoredState::Outdated => false,
     }
 }
 
-/// What the store keeps of a record: the strikes that count whole.
-fn content_of(record: &Record) -> QuarantineRecord {
+/// The part of a record that is stored: only the strikes that count fully, which excludes coincident ones.
+fn record_to_store(record: &Record) -> QuarantineRecord {
     let counted = record.strikes.iter().filter(|strike| !strike.is_coincident);
     QuarantineRecord {
         generation: record.generation,
         replicas: counted.map(|strike| strike.replica).collect(),
         is_quarantined: record.is_quarantined,
         trials: record.trials,
-        good_ends: record.good_ends,
-        apart_trials: record.apart_trials,
+        good_ends: record.completions,
+        apart_trials: record.isolated_trials,
     }
 }
 
-/// Removes the objects of requests that nothing counts against any more; false where some could not be.
+/// Deletes the objects of requests that have no strikes left; returns false if a deletion failed.
 async fn remove_all(state: &GatewayState) -> bool {
     let mut has_removed_all = true;
     for removal in state.quarantine.take_removals() {
@@ -292,14 +294,14 @@
                 gateway::QUARANTINE_NOT_KEPT,
                 "fingerprint={fingerprint} removal at {position}"
             );
-            state.quarantine.put_back(removal);
+            state.quarantine.retry_removal(removal);
         }
     }
     has_removed_all
 }
 
-/// Takes in a record as the store keeps it.
-pub(super) fn take_record(
+/// Applies a record read from the store.
+pub(super) fn apply_record(
     state: &GatewayState,
     name: &str,
     position: StorePosition,
@@ -317,7 +319,8 @@
         known.is_none() && state.quarantine.read(ledger)
     };
     if is_cleared || is_forgotten() {
-        // The daemon that cleared it ended before it was removed, or the store came back from a copy that still has it.
+        // The gateway that cleared the record stopped before the object was deleted, or the store was restored from a copy
+        // that still has it.
         log_event!(
             gateway::QUARANTINE_REMOVED_AGAIN,
             "fingerprint={fingerprint} position={position} generation={} known={known:?}",
@@ -337,7 +340,7 @@
         strikes: strikes
             .map(|(number, replica)| Strike {
                 replica: *replica,
-                at: now.saturating_sub(APART * (count - number)),
+                at: now.saturating_sub(ASSUMED_STRIKE_INTERVAL * (count - number)),
                 is_coincident: false,
                 began_at: None,
             })
@@ -347,38 +350,38 @@
         stored: Stored {
             position: Some(position),
             is_quarantined: content.is_quarantined,
-            apart_trials: content.apart_trials,
+            isolated_trials: content.apart_trials,
         },
-        good_ends: content.good_ends,
-        apart_trials: content.apart_trials,
+        completions: content.good_ends,
+        isolated_trials: content.apart_trials,
         ..Record::default()
     };
     let role = role(&state.peers.directory(), fingerprint, state.peers.own());
-    let has_news = state
+    let has_changes = state
         .quarantine
-        .take_record(fingerprint, record, role, Teller::Store);
-    if has_news {
-        state.peers.nudge();
+        .merge_record(fingerprint, record, role, RecordSource::Store);
+    if has_changes {
+        state.peers.announce_changes();
     }
 }
 
-/// Takes in that an object was deleted.
-pub(super) fn take_deleted(state: &GatewayState, name: &str) {
+/// Releases the request whose object was deleted.
+pub(super) fn apply_deletion(state: &GatewayState, name: &str) {
     if let Some(fingerprint) = fingerprint_of(state, name) {
         state.quarantine.release(fingerprint);
     }
 }
 
-/// Takes in which objects there are: those that are gone were deleted while nobody watched.
-pub(super) fn take_list(state: &GatewayState, objects: &[StoredObject], position: StorePosition) {
+/// Applies a complete list of objects: those missing from it were deleted while no watch was active.
+pub(super) fn apply_list(state: &GatewayState, objects: &[StoredObject], position: StorePosition) {
     let listed = objects
         .iter()
         .filter_map(|object| fingerprint_of(state, &object.name));
     let listed: Vec<Fingerprint> = listed.collect();
-    state.quarantine.take_list(&listed, position);
+    state.quarantine.release_missing(&listed, position);
 }
 
-/// The request that an object is about; nothing where another writer named it.
+/// The fingerprint in an object's name; `None` if the name is not a fingerprint, as for objects of other writers.
 fn fingerprint_of(state: &GatewayState, name: &str) -> Option<Fingerprint> {
     let fingerprint: Result<Fingerprint, _> = name.parse();
     let fingerprint = fingerprint.inspect_err(|error| {
